--- a/pkg/epoch/epoch.go
+++ b/pkg/epoch/epoch.go
@@ -12,8 +12,8 @@
 
 // MostEpoch and MostCounter are the highest that a version holds.
 const (
-	MostEpoch   = 1<<(64-counterBits) - 1
-	MostCounter = 1<<counterBits - 1
+	MaxEpoch   = 1<<(64-counterBits) - 1
+	MaxCounter = 1<<counterBits - 1
 )
 
 // Version is a version of a store, as the pair of its epoch and its counter.
@@ -21,17 +21,17 @@
 
 // Join makes a version. What is more than it holds counts as the highest.
 func Join(epoch, counter uint64) Version {
-	return Version(min(epoch, MostEpoch)<<counterBits | min(counter, MostCounter))
+	return Version(min(epoch, MaxEpoch)<<counterBits | min(counter, MaxCounter))
 }
 
 // Epoch is how often the store had been restored.
 func (v Version) Epoch() uint64 { return uint64(v) >> counterBits }
 
 // Counter is the store's own number. It orders versions of one epoch only.
-func (v Version) Counter() uint64 { return uint64(v) & MostCounter }
+func (v Version) Counter() uint64 { return uint64(v) & MaxCounter }
 
 // Precedes tells whether a version is of an earlier epoch than another one.
-func (v Version) Precedes(other Version) bool { return v.Epoch() < other.Epoch() }
+func (v Version) HasEarlierEpochThan(other Version) bool { return v.Epoch() < other.Epoch() }
 
 // String is the pair, for logs.
 func (v Version) String() string {
--- a/pkg/epoch/epoch_test.go
+++ b/pkg/epoch/epoch_test.go
@@ -10,14 +10,14 @@
 func TestVersions(t *testing.T) {
 	Convey("Versions are ordered by epoch first, and give back what they were made of", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
-			epochs, counters := rapid.Uint64Range(0, MostEpoch), rapid.Uint64Range(0, MostCounter)
+			epochs, counters := rapid.Uint64Range(0, MaxEpoch), rapid.Uint64Range(0, MaxCounter)
 			e, c := epochs.Draw(t, "epoch"), counters.Draw(t, "counter")
 			f, d := epochs.Draw(t, "another epoch"), counters.Draw(t, "another counter")
 			a, b := Join(e, c), Join(f, d)
 			if a.Epoch() != e || a.Counter() != c {
 				t.Fatalf("%d, %d became %s", e, c, a)
 			}
-			if (a < b) != (e < f || (e == f && c < d)) || a.Precedes(b) != (e < f) {
+			if (a < b) != (e < f || (e == f && c < d)) || a.HasEarlierEpochThan(b) != (e < f) {
 				t.Fatalf("%s and %s are in the wrong order", a, b)
 			}
 		})
--- a/pkg/gateway/deadly.go
+++ b/pkg/gateway/deadly.go
@@ -60,7 +60,7 @@
 
 // endsChanged has other boxes told, and the store, what this one saw.
 func (g *Gateway) endsChanged() {
-	g.exchange.Wake()
+	g.exchange.SendNow()
 	g.registry.KeepQuarantine()
 }
 
--- a/pkg/gateway/memory.go
+++ b/pkg/gateway/memory.go
@@ -53,7 +53,7 @@
 // awaitSettled waits until this box knows the fleet. It reports false if the box stops
 // first.
 func (s *scheduler) awaitSettled() bool {
-	for !s.gateway.fleet.Settled(time.Now()) {
+	for !s.gateway.fleet.IsSettled(time.Now()) {
 		if interval.Wait(s.gateway.over, settledLook) != nil {
 			return false
 		}
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -64,7 +64,7 @@
 		Box:      message.Box,
 
 		Elsewhere:   dispatch.Elsewhere{Asked: float64(message.AskedElsewhere), Granted: float64(message.GrantedElsewhere)},
-		Fingerprint: peer.FingerprintOf(message.Fingerprint),
+		Fingerprint: peer.DecodeFingerprint(message.Fingerprint),
 	}
 	ask.Parts = partsOf(message.PartIDs, message.PartTokens)
 	return ask
@@ -137,7 +137,7 @@
 		end.How = peerpb.End_BROKEN
 	case dispatch.Ended:
 		end.How = peerpb.End_ENDED
-		end.Ended = peer.EndMessage(&how.End)
+		end.Ended = peer.EncodeEnd(&how.End)
 	}
 	return &peerpb.Call{Kind: &peerpb.Call_End{End: end}}
 }
@@ -164,7 +164,7 @@
 	if message == nil {
 		return dispatch.Broken{}
 	}
-	ends := peer.EndsOf([]*peerpb.EndpointEnd{message})
+	ends := peer.DecodeEnds([]*peerpb.EndpointEnd{message})
 	if len(ends) == 0 {
 		return dispatch.Broken{}
 	}
--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -20,7 +20,7 @@
 // taken for gone: the fleet tells.
 func (g *Gateway) listed(boxes []registry.Box) {
 	for _, found := range boxes {
-		g.fleet.Listed(peer.Sender{Box: found.Name, Zone: found.Zone, PeerAddress: found.PeerAddress, Cores: found.Cores})
+		g.fleet.AddListed(peer.Sender{Box: found.Name, Zone: found.Zone, PeerAddress: found.PeerAddress, Cores: found.Cores})
 	}
 	g.chooseContacts()
 }
@@ -35,14 +35,14 @@
 
 // tellOwn has other boxes told at once what is in force here.
 func (g *Gateway) tellOwn() {
-	g.fleet.Configure(g.registry.Catalog() != nil, g.stopping.Load())
-	g.exchange.Wake()
+	g.fleet.SetStatus(g.registry.Catalog() != nil, g.stopping.Load())
+	g.exchange.SendNow()
 }
 
 // noteStore tells the others whether this box reaches the store.
 func (g *Gateway) noteStore(lost bool) {
-	g.fleet.NoteStore(lost)
-	g.exchange.WakeSoon()
+	g.fleet.SetStoreLost(lost)
+	g.exchange.SendSoon()
 }
 
 const (
@@ -65,12 +65,12 @@
 // those that dispatch, until the context ends.
 func (g *Gateway) keepContacts(ctx context.Context) error {
 	for {
-		contacts := g.fleet.Contacts(time.Now(), g.dispatchers(), g.exchange.Reached())
+		contacts := g.fleet.Contacts(time.Now(), g.dispatchers(), g.exchange.Connected())
 		g.exchange.SetContacts(contacts)
 		if g.fleet.Refresh(time.Now()) {
-			g.exchange.WakeSoon()
+			g.exchange.SendSoon()
 		}
-		if interval.Wait(ctx, max(contactsLeast, g.fleet.NewsDelay()/2)) != nil {
+		if interval.Wait(ctx, max(contactsLeast, g.fleet.RowsDelay()/2)) != nil {
 			return nil
 		}
 		if interval.WaitOr(ctx, interval.Jittered(contactsInterval), g.contactsWake) != nil {
@@ -124,7 +124,7 @@
 	entries, then, more := g.registry.Since(epoch.Version(since))
 	directory := &peerpb.Directory{More: more}
 	if !more {
-		directory.Knowledge = peer.KnowledgeMessage(then)
+		directory.Knowledge = peer.EncodeKnowledge(then)
 	}
 	now := time.Now()
 	for _, entry := range entries {
@@ -180,9 +180,9 @@
 }
 
 // Heard applies what a peer tells.
-func (g *Gateway) Heard(from peer.Sender, news peer.State, first bool) {
-	if g.fleet.Hear(from, news) {
-		g.exchange.WakeSoon()
+func (g *Gateway) HandleUpdate(from peer.Sender, news peer.State, first bool) {
+	if g.fleet.HandleUpdate(from, news) {
+		g.exchange.SendSoon()
 		g.chooseContacts()
 	}
 	if first {
@@ -190,10 +190,10 @@
 		g.exchange.Redial(from.Box)
 	}
 	if g.ledger.Merge(news.Ends, from.Box, time.Now()) {
-		g.exchange.Wake()
+		g.exchange.SendNow()
 	}
 	if g.rollouts.hear(news.Rollouts, time.Now()) {
-		g.exchange.Wake()
+		g.exchange.SendNow()
 	}
 	// What is news here is told on by the change of the directory.
 	g.registry.OfferDepartures(news.Departures, from.Box, time.Now())
@@ -208,7 +208,7 @@
 		g.work.Go(g.directories.run)
 	}
 	if learnt {
-		g.exchange.Wake()
+		g.exchange.SendNow()
 	}
 }
 
@@ -221,15 +221,15 @@
 // fetchCatalog takes a higher version from a peer that told of it, so that a store
 // that is out of reach does not stop its spread.
 func (g *Gateway) fetchCatalog(from string, version uint64) {
-	snapshot, err := g.exchange.FetchFrom(from, version)
+	snapshot, err := g.exchange.FetchSettingsFrom(from, version)
 	if err != nil {
 		g.Logs.For(logflags.Peer).Warn("configuration not taken from peer", zap.String("Peer", from), zap.Error(err))
 		return
 	}
 	// The orders and what is quarantined go first: a box that has a configuration serves.
 	g.offerOrders(snapshot.Orders, from)
-	g.ledger.Merge(peer.EndsOf(snapshot.Ends), from, time.Now())
-	g.registry.OfferDepartures(peer.DeparturesOf(snapshot.Departures), from, time.Now())
+	g.ledger.Merge(peer.DecodeEnds(snapshot.Ends), from, time.Now())
+	g.registry.OfferDepartures(peer.DecodeDepartures(snapshot.Departures), from, time.Now())
 	g.registry.OfferCatalog(snapshot.Content, from)
 }
 
@@ -245,7 +245,7 @@
 
 func (g *Gateway) offerOrders(orders *peerpb.Orders, from string) {
 	if orders != nil {
-		g.registry.OfferOrders(peer.OrdersOf(orders, time.Now()), from)
+		g.registry.OfferOrders(peer.DecodeOrders(orders, time.Now()), from)
 	}
 }
 
@@ -256,8 +256,8 @@
 		g.Logs.For(logflags.Peer).Warn("endpoints not taken from peer", zap.String("Peer", from), zap.Error(err))
 		return
 	}
-	g.registry.OfferEntries(entriesOf(directory), peer.KnowledgeOf(directory.Knowledge), from)
-	g.exchange.Wake()
+	g.registry.OfferEntries(entriesOf(directory), peer.DecodeKnowledge(directory.Knowledge), from)
+	g.exchange.SendNow()
 }
 
 func entriesOf(directory *peerpb.Directory) []registry.Entry {
@@ -270,8 +270,8 @@
 }
 
 // Silent notes that a peer's session ended.
-func (g *Gateway) Silent(from peer.Sender) {
-	g.fleet.Silent(from)
+func (g *Gateway) HandlePeerLost(from peer.Sender) {
+	g.fleet.HandlePeerLost(from)
 	g.chooseContacts()
 	g.Logs.For(logflags.Peer).Warn("peer lost", zap.String("Peer", from.Box), zap.Uint64("Incarnation", from.Incarnation))
 }
--- a/pkg/gateway/pool.go
+++ b/pkg/gateway/pool.go
@@ -199,7 +199,7 @@
 			p.divide(count)
 		}
 	}
-	return p.use(partition.Of(ask.PlaceKey(), p.weights))
+	return p.use(partition.GroupOf(ask.PlaceKey(), p.weights))
 }
 
 // rest has the group of an engine know that it wants nothing from this box for a while.
@@ -273,7 +273,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.groups {
-		if name == partition.Name(p.name, i) {
+		if name == partition.GroupName(p.name, i) {
 			return p.use(i)
 		}
 	}
--- a/pkg/gateway/rank.go
+++ b/pkg/gateway/rank.go
@@ -16,10 +16,10 @@
 	candidates := g.fleet.Candidates(time.Now())
 	same := len(candidates) == len(s.candidates) && (len(candidates) == 0 || &candidates[0] == &s.candidates[0])
 	if s.ranking == nil || !same {
-		own := membership.Candidate{Name: g.Settings.Name, Hash: xxhash.Sum64String(g.Settings.Name), Cores: g.Settings.Cores, Heard: true}
+		own := membership.Candidate{Name: g.Settings.Name, Hash: xxhash.Sum64String(g.Settings.Name), Cores: g.Settings.Cores, Alive: true}
 		s.ranking, s.candidates = partition.Rank(s.service, own, candidates), candidates
 		if !s.standing {
-			s.putFirst(s.assignment.Of(s.poolName, s.number, s.groups, own, candidates))
+			s.putFirst(s.assignment.BoxFor(s.poolName, s.number, s.groups, own, candidates))
 		}
 	}
 	return s.ranking
@@ -31,7 +31,7 @@
 	if box == "" || at == 0 {
 		return
 	}
-	one := partition.Ranked{Name: box, Heard: true}
+	one := partition.Ranked{Name: box, Alive: true}
 	if at > 0 {
 		one = s.ranking[at]
 		s.ranking = slices.Delete(s.ranking, at, at+1)
@@ -55,7 +55,7 @@
 			if !g.stopping.Load() {
 				return box.Name
 			}
-		case !s.standing || g.exchange.Reaches(box.Name):
+		case !s.standing || g.exchange.IsConnected(box.Name):
 			return box.Name
 		}
 	}
@@ -95,7 +95,7 @@
 			return names
 		case now.Before(s.suspects[box.Name].until):
 			continue
-		case box.Heard:
+		case box.Alive:
 			count--
 		case unheard == mostUnheard:
 			continue
--- a/pkg/gateway/remote.go
+++ b/pkg/gateway/remote.go
@@ -193,10 +193,10 @@
 // openStream opens a stream to a box, and a session where none stands.
 func (s *scheduler) openStream(box string) (*peer.DispatchStream, error) {
 	g := s.gateway
-	if !g.exchange.Reaches(box) {
+	if !g.exchange.IsConnected(box) {
 		ctx, cancel := context.WithTimeout(g.over, reachPatience)
 		defer cancel()
-		if err := g.exchange.Reach(ctx, box, g.fleet.AddressOf(box)); err != nil {
+		if err := g.exchange.Connect(ctx, box, g.fleet.AddressOf(box)); err != nil {
 			return nil, err
 		}
 		g.chooseContacts()
@@ -217,7 +217,7 @@
 			r.stream.Send(restMessage(rest, now))
 		}
 	}
-	start := s.gateway.fleet.StartOf(r.box)
+	start := s.gateway.fleet.IncarnationOf(r.box)
 	again := start != 0 && start == s.told
 	s.told = start
 	if !again || s.standing {
--- a/pkg/gateway/rollouts.go
+++ b/pkg/gateway/rollouts.go
@@ -229,7 +229,7 @@
 	if m == nil {
 		return nil
 	}
-	return peer.RolloutTally(m.Order.Version, m.answers.Counts(), g.lives.others(service, m.Order.Target))
+	return peer.EncodeRolloutTally(m.Order.Version, m.answers.Counts(), g.lives.others(service, m.Order.Target))
 }
 
 // reporters are the boxes that this one asks.
@@ -335,7 +335,7 @@
 		zap.Stringer("Order", m.Order.Version),
 		zap.Stringer("Verdict", verdict),
 		zap.Duration("Passed", time.Since(m.Order.SeenAt)))
-	r.gateway.exchange.Wake()
+	r.gateway.exchange.SendNow()
 }
 
 // judge decides by what all provers saw.
@@ -360,7 +360,7 @@
 	group := errgroup.Group{}
 	group.SetLimit(asksAtOnce)
 	for _, box := range provers {
-		if box == r.gateway.Settings.Name || !r.gateway.exchange.Reaches(box) {
+		if box == r.gateway.Settings.Name || !r.gateway.exchange.IsConnected(box) {
 			continue
 		}
 		group.Go(func() error {
@@ -372,7 +372,7 @@
 			if epoch.Version(tally.GetOrder()) == order {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				m.tallies[box] = peer.CountsOf(tally)
+				m.tallies[box] = peer.DecodeRolloutTally(tally)
 			}
 			return nil
 		})
@@ -393,7 +393,7 @@
 	m.status, m.statusRead = status, true
 	ofOrder := status.Version > m.Order.Version && status.Target == m.Order.Target
 	if ofOrder && status.Verdict.Final() && r.adopt(m, status.Verdict, time.Now()) {
-		r.gateway.exchange.Wake()
+		r.gateway.exchange.SendNow()
 	}
 	return true
 }
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -162,7 +162,7 @@
 				all.Endpoints = append(all.Endpoints, directory.Endpoints...)
 				all.Knowledge, more = directory.Knowledge, directory.More
 			}
-			taker.registry.OfferEntries(entriesOf(all), peer.KnowledgeOf(all.Knowledge), "teller")
+			taker.registry.OfferEntries(entriesOf(all), peer.DecodeKnowledge(all.Knowledge), "teller")
 		})
 		t.Logf("%d bytes in %d parts, %d allocated", told, parts, took)
 		So(taker.knownVersion(), ShouldEqual, teller.knownVersion())
@@ -188,14 +188,14 @@
 		used := p.group(ask)
 		So(p.group(ask), ShouldEqual, used)
 		So(p.current(), ShouldHaveLength, 1)
-		So(len(used.endpoints), ShouldBeBetween, partition.Engines/2, 2*partition.Engines)
+		So(len(used.endpoints), ShouldBeBetween, partition.MaxGroupEngines/2, 2*partition.MaxGroupEngines)
 		p.dropIdle(used.usedAt.Add(idleGroup / 2))
 		So(p.current(), ShouldHaveLength, 1)
 		p.dropIdle(used.usedAt.Add(idleGroup))
 		So(p.current(), ShouldBeEmpty)
 	})
 	Convey("A small pool has all of its groups at all times", t, func() {
-		g := boxWith(t, 2*partition.Engines)
+		g := boxWith(t, 2*partition.MaxGroupEngines)
 		p := g.pool("llm")
 		So(p.current(), ShouldHaveLength, 2)
 		p.dropIdle(p.groups[0].usedAt.Add(idleGroup))
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -141,7 +141,7 @@
 	rules.ColdFactor, rules.ColdMore = g.Settings.ColdFactor, g.Settings.ColdMore
 	s := &scheduler{
 		gateway:    g,
-		service:    partition.Name(p.name, number),
+		service:    partition.GroupName(p.name, number),
 		poolName:   p.name,
 		number:     number,
 		groups:     len(p.groups),
--- a/pkg/gateway/sessions_test.go
+++ b/pkg/gateway/sessions_test.go
@@ -39,7 +39,7 @@
 	}
 	shared := partition.Assignment{}
 	for group := range f.groups {
-		f.dispatchers = append(f.dispatchers, numbers[shared.Of("llm", group, f.groups, fleet[0], fleet[1:])])
+		f.dispatchers = append(f.dispatchers, numbers[shared.BoxFor("llm", group, f.groups, fleet[0], fleet[1:])])
 	}
 	return f
 }
@@ -147,7 +147,7 @@
 		if i%20 == 0 {
 			cores = 1.6
 		}
-		found = append(found, membership.Candidate{Name: fmt.Sprintf("box-%d", i), Hash: uint64(i) * 0x9e3779b97f4a7c15, Cores: cores, Heard: true})
+		found = append(found, membership.Candidate{Name: fmt.Sprintf("box-%d", i), Hash: uint64(i) * 0x9e3779b97f4a7c15, Cores: cores, Alive: true})
 	}
 	return found
 }
--- a/pkg/gateway/suspicion.go
+++ b/pkg/gateway/suspicion.go
@@ -65,7 +65,7 @@
 	}
 	next := known.again(now)
 	s.suspects[box] = next
-	s.gateway.exchange.Doubt(box)
+	s.gateway.exchange.CheckSession(box)
 	s.log.Warn("dispatcher not asked for a while",
 		zap.String("Service", s.service),
 		zap.String("Box", box),
--- a/pkg/gateway/wake.go
+++ b/pkg/gateway/wake.go
@@ -78,7 +78,7 @@
 	}
 	g.log.Warn("the machine was suspended", zap.Duration("For", length))
 	g.waking.endLate()
-	g.exchange.Renew()
+	g.exchange.ReopenSessions()
 	if g.waking.renewing.CompareAndSwap(false, true) {
 		g.work.Go(func() error {
 			g.renew()
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -11,7 +11,7 @@
 // viewOf is what a box of a fleet knows that has heard of all others.
 func viewOf(boxes int) *View {
 	v := &View{Self: peer.Sender{Box: "box-0", Zone: "zone-0", PeerAddress: "box-0", Incarnation: 1}}
-	v.Configure(true, false)
+	v.SetStatus(true, false)
 	var rows []peer.Row
 	for i := 1; i < boxes; i++ {
 		row := peer.Row{Sequence: 1, Configured: true, Sender: peer.Sender{
@@ -26,7 +26,7 @@
 		}
 		rows = append(rows, row)
 	}
-	v.Hear(rows[0].Sender, peer.State{Revision: 1, Rows: rows})
+	v.HandleUpdate(rows[0].Sender, peer.State{Revision: 1, Rows: rows})
 	return v
 }
 
@@ -53,7 +53,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				row.Sequence++
-				v.Hear(from, peer.State{Revision: 1, Rows: []peer.Row{row}})
+				v.HandleUpdate(from, peer.State{Revision: 1, Rows: []peer.Row{row}})
 				v.Contacts(time.Now(), nil, nil)
 			}
 		})
--- a/pkg/membership/candidates.go
+++ b/pkg/membership/candidates.go
@@ -15,18 +15,18 @@
 	Hash  uint64
 	Cores float64
 	// Heard is set where the box is known to be alive, and not only listed.
-	Heard bool
+	Alive bool
 }
 
 // standing is a list of candidates as of a version of the view.
-type standing struct {
+type candidateCache struct {
 	candidates []Candidate
 	version    uint64
-	until      time.Time
+	expiresAt  time.Time
 }
 
 // standFor bounds the age of the candidates without news: lists of boxes come without.
-const standFor = 200 * time.Millisecond
+const candidateCacheTTL = 200 * time.Millisecond
 
 // Candidates are the other boxes that are alive, take work and have a configuration, and those
 // that are only listed: they may be alive, and their rows on the way. After all boxes were gone,
@@ -36,13 +36,13 @@
 func (v *View) Candidates(now time.Time) []Candidate {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.prepare()
-	if v.standing.candidates != nil && v.standing.version == v.version && now.Before(v.standing.until) {
-		return v.standing.candidates
+	v.ensureMaps()
+	if v.candidateCache.candidates != nil && v.candidateCache.version == v.version && now.Before(v.candidateCache.expiresAt) {
+		return v.candidateCache.candidates
 	}
-	v.noteLive()
-	found := make([]Candidate, 0, len(v.takers))
-	for _, one := range v.takers {
+	v.updateAlive()
+	found := make([]Candidate, 0, len(v.accepting))
+	for _, one := range v.accepting {
 		if one.Configured && one.box != nil {
 			found = append(found, Candidate{
 				Name:        one.Box,
@@ -50,46 +50,46 @@
 				Incarnation: one.Incarnation,
 				Hash:        one.box.hash,
 				Cores:       one.Cores,
-				Heard:       true,
+				Alive:       true,
 			})
 		}
 	}
 	for _, box := range v.all {
-		if !box.heardOf && now.After(box.failedUntil) {
+		if !box.hasRow && now.After(box.excludedUntil) {
 			found = append(found, Candidate{Name: box.name, Address: box.address, Hash: box.hash, Cores: box.cores})
 		}
 	}
-	v.standing = standing{candidates: found, version: v.version, until: now.Add(standFor)}
+	v.candidateCache = candidateCache{candidates: found, version: v.version, expiresAt: now.Add(candidateCacheTTL)}
 	return found
 }
 
 // recent is a count of the boxes that were alive a short while ago.
-type recent struct {
-	count  int
-	within time.Duration
-	until  time.Time
+type recentCount struct {
+	count     int
+	window    time.Duration
+	expiresAt time.Time
 }
 
 // recentFor is how long the count holds.
-const recentFor = 50 * time.Millisecond
+const recentCountTTL = 50 * time.Millisecond
 
 // CountRecent is the number of other boxes that are alive, or were until a short while ago
 // and did not say that they leave. One that came back by its name counts once.
 func (v *View) CountRecent(now time.Time, within time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.recent.within == within && now.Before(v.recent.until) {
-		return v.recent.count
+	if v.recentCount.window == within && now.Before(v.recentCount.expiresAt) {
+		return v.recentCount.count
 	}
-	v.search()
+	v.findLive()
 	names := make(map[string]bool, len(v.rows))
 	for _, one := range v.rows {
-		lost := !one.reached && (one.Leaving || now.Sub(one.lostAt) > within)
+		lost := !one.alive && (one.Leaving || now.Sub(one.lostAt) > within)
 		if !lost && one.Box != v.Self.Box {
 			names[one.Box] = true
 		}
 	}
-	v.recent = recent{count: len(names), within: within, until: now.Add(recentFor)}
+	v.recentCount = recentCount{count: len(names), window: within, expiresAt: now.Add(recentCountTTL)}
 	return len(names)
 }
 
@@ -104,7 +104,7 @@
 }
 
 // StartOf is the incarnation of a box that is alive; 0 where it is not known.
-func (v *View) StartOf(box string) uint64 {
+func (v *View) IncarnationOf(box string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if known := v.boxes[box]; known != nil {
--- a/pkg/membership/fleet_test.go
+++ b/pkg/membership/fleet_test.go
@@ -15,7 +15,7 @@
 
 const (
 	// With 300 boxes and three seeds all tests passed as well; that took four minutes.
-	manyBoxes, zones = 120, 5
+	boxCount, zones = 120, 5
 	// seeds is the number of fleets with other luck that each test plays.
 	seeds = 1
 )
@@ -24,9 +24,9 @@
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(fmt.Sprintf("%s (seed %d)", what, seed), t, func() {
-				f := newFleet(manyBoxes, zones, seed)
+				f := newFleet(boxCount, zones, seed)
 				So(f.agreeWithin(2*time.Second), ShouldBeLessThan, time.Second)
-				f.run(2 * linger)
+				f.run(2 * neighbourTTL)
 				check(f)
 			})
 		})
@@ -44,7 +44,7 @@
 
 func TestManyBoxesLost(t *testing.T) {
 	inFleet(t, "A third of the boxes die at once: the others agree on who is left", func(f *fleet) {
-		for _, n := range f.shuffled()[:manyBoxes/3] {
+		for _, n := range f.shuffled()[:boxCount/3] {
 			f.kill(n)
 		}
 		So(f.agreeWithin(5*time.Second), ShouldBeLessThan, time.Second)
@@ -55,13 +55,13 @@
 	inFleet(t, "A zone is cut off: each side finds the other gone, and both find each other again", func(f *fleet) {
 		for _, n := range f.nodes {
 			if n.Self.Zone == "zone-1" {
-				n.island = 1
+				n.partition = 1
 			}
 		}
 		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, lapse+time.Second)
 		f.run(30 * time.Second)
 		for _, n := range f.nodes {
-			n.island = 0
+			n.partition = 0
 		}
 		So(f.agreeWithin(20*time.Second), ShouldBeLessThan, 3*time.Second)
 	})
@@ -71,15 +71,15 @@
 	inFleet(t, "A zone is cut off until its rows are forgotten: boxes that joined meanwhile learn of it too", func(f *fleet) {
 		for _, n := range f.nodes {
 			if n.Self.Zone == "zone-1" {
-				n.island = 1
+				n.partition = 1
 			}
 		}
 		f.run(30 * time.Second)
 		f.add("zone-0-late", "zone-0")
-		time.Sleep(keepLost + time.Minute)
+		time.Sleep(lostRowTTL + time.Minute)
 		f.run(5 * time.Second)
 		for _, n := range f.nodes {
-			n.island = 0
+			n.partition = 0
 		}
 		So(f.agreeWithin(20*time.Second), ShouldBeLessThan, 4*time.Second)
 	})
@@ -100,23 +100,23 @@
 
 func TestManyBoxesJoin(t *testing.T) {
 	inFleet(t, "Four fifths more boxes join at once", func(f *fleet) {
-		for i := range manyBoxes * 4 / 5 {
+		for i := range boxCount * 4 / 5 {
 			f.add(fmt.Sprintf("zone-%d-new-%d", i%zones, i), fmt.Sprintf("zone-%d", i%zones))
 		}
 		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, 2*time.Second)
-		f.run(2 * linger)
+		f.run(2 * neighbourTTL)
 		So(f.mostSessions(), ShouldBeLessThanOrEqualTo, 32)
 	})
 }
 
 func TestFrozenBoxes(t *testing.T) {
 	inFleet(t, "Frozen boxes are found gone, and their old beliefs change nothing when they wake", func(f *fleet) {
-		frozen := f.shuffled()[:manyBoxes/10]
+		frozen := f.shuffled()[:boxCount/10]
 		for _, n := range frozen {
 			n.frozen = true
 		}
 		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, lapse+time.Second)
-		gone := f.shuffled()[:manyBoxes/10]
+		gone := f.shuffled()[:boxCount/10]
 		for _, n := range gone {
 			if !n.frozen {
 				f.kill(n)
@@ -145,13 +145,13 @@
 // TestLeaving holds that a box that leaves is not counted, wherever it is seen from.
 func TestLeaving(t *testing.T) {
 	inFleet(t, "A leaving box takes no work", func(f *fleet) {
-		leaving := f.nodes[f.rand.IntN(manyBoxes)]
-		leaving.Configure(true, true)
+		leaving := f.nodes[f.rand.IntN(boxCount)]
+		leaving.SetStatus(true, true)
 		f.run(time.Second)
 		for _, n := range f.nodes {
-			expected := manyBoxes - 2
+			expected := boxCount - 2
 			if n == leaving {
-				expected = manyBoxes - 1
+				expected = boxCount - 1
 			}
 			So(n.CountLive(), ShouldEqual, expected)
 		}
@@ -184,7 +184,7 @@
 	inFleet(t, "Few boxes of each zone follow the store, others where it turns these away", func(f *fleet) {
 		following := func() (reaching, trying int) {
 			for _, n := range f.nodes {
-				if n.Follows() {
+				if n.IsFollower() {
 					trying++
 					if !n.own.StoreLost {
 						reaching++
@@ -194,18 +194,18 @@
 			return reaching, trying
 		}
 		reaching, trying := following()
-		So(reaching, ShouldEqual, zones*followersEach)
-		So(f.nodes[0].Followers(), ShouldEqual, zones*followersEach)
+		So(reaching, ShouldEqual, zones*followersPerZone)
+		So(f.nodes[0].CountFollowers(), ShouldEqual, zones*followersPerZone)
 		So(trying, ShouldEqual, reaching)
 		// The store turns a third of the boxes away.
 		away := map[*node]bool{}
-		for _, n := range f.shuffled()[:manyBoxes/3] {
+		for _, n := range f.shuffled()[:boxCount/3] {
 			away[n] = true
 		}
 		f.tryStore(away)
 		reaching, trying = following()
 		So(reaching, ShouldBeGreaterThanOrEqualTo, zones)
-		So(trying, ShouldBeLessThanOrEqualTo, zones*(followersEach+mostPassedOver+3))
+		So(trying, ShouldBeLessThanOrEqualTo, zones*(followersPerZone+maxReplaced+3))
 		// It serves two boxes only, the last ones that it falls to.
 		for _, n := range f.nodes {
 			away[n] = true
@@ -213,7 +213,7 @@
 		last := f.lastFollowers("zone-1")
 		delete(away, last[0])
 		delete(away, last[1])
-		for range 8 * manyBoxes / zones / 10 {
+		for range 8 * boxCount / zones / 10 {
 			f.tryStore(away)
 		}
 		reaching, _ = following()
@@ -226,10 +226,10 @@
 		f.tryStore(away)
 		_, trying = following()
 		// Those that try grow by some in the five seconds.
-		So(trying, ShouldBeLessThanOrEqualTo, zones*(followersEach+mostPassedOver+3))
+		So(trying, ShouldBeLessThanOrEqualTo, zones*(followersPerZone+maxReplaced+3))
 		f.tryStore(nil)
 		reaching, trying = following()
-		So(reaching, ShouldEqual, zones*followersEach)
+		So(reaching, ShouldEqual, zones*followersPerZone)
 		So(trying, ShouldEqual, reaching)
 	})
 }
@@ -239,31 +239,31 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A box knows the fleet once no news comes any more", t, func() {
 			alone := &View{Self: peer.Sender{Box: "a", Incarnation: 1}}
-			alone.Configure(true, false)
+			alone.SetStatus(true, false)
 			slow := &View{Self: peer.Sender{Box: "a", Incarnation: 1}}
-			slow.Listed(peer.Sender{Box: "b", PeerAddress: "b"})
-			slow.Configure(true, false)
-			So(alone.Settled(time.Now()), ShouldBeFalse)
-			time.Sleep(settleTime + step)
-			So(alone.Settled(time.Now()), ShouldBeTrue)
-			So(slow.Settled(time.Now()), ShouldBeFalse)
-			slow.Hear(peer.Sender{Box: "b", Incarnation: 2, PeerAddress: "b"}, peer.State{Revision: 1})
-			So(slow.Settled(time.Now()), ShouldBeFalse)
-			time.Sleep(settleTime + step)
-			So(slow.Settled(time.Now()), ShouldBeTrue)
+			slow.AddListed(peer.Sender{Box: "b", PeerAddress: "b"})
+			slow.SetStatus(true, false)
+			So(alone.IsSettled(time.Now()), ShouldBeFalse)
+			time.Sleep(minSettleDelay + step)
+			So(alone.IsSettled(time.Now()), ShouldBeTrue)
+			So(slow.IsSettled(time.Now()), ShouldBeFalse)
+			slow.HandleUpdate(peer.Sender{Box: "b", Incarnation: 2, PeerAddress: "b"}, peer.State{Revision: 1})
+			So(slow.IsSettled(time.Now()), ShouldBeFalse)
+			time.Sleep(minSettleDelay + step)
+			So(slow.IsSettled(time.Now()), ShouldBeTrue)
 			unheard := 0
-			slow.Listed(peer.Sender{Box: "c", PeerAddress: "c"})
+			slow.AddListed(peer.Sender{Box: "c", PeerAddress: "c"})
 			for _, box := range slow.Candidates(time.Now()) {
-				if !box.Heard {
+				if !box.Alive {
 					unheard++
 				}
 			}
 			So(unheard, ShouldEqual, 1)
 			never := &View{Self: peer.Sender{Box: "a", Incarnation: 1}}
-			never.Listed(peer.Sender{Box: "b", PeerAddress: "b"})
-			never.Configure(true, false)
-			time.Sleep(settleMost + step)
-			So(never.Settled(time.Now()), ShouldBeTrue)
+			never.AddListed(peer.Sender{Box: "b", PeerAddress: "b"})
+			never.SetStatus(true, false)
+			time.Sleep(maxSettleDelay + step)
+			So(never.IsSettled(time.Now()), ShouldBeTrue)
 		})
 	})
 }
@@ -281,10 +281,10 @@
 		now := time.Now()
 		contact, there := n.Contacts(now, []string{asked}, nil)[asked]
 		So(there, ShouldBeTrue)
-		So(contact.Told, ShouldBeFalse)
-		_, there = n.Contacts(now.Add(askedLinger-time.Millisecond), nil, nil)[asked]
+		So(contact.SendsUpdates, ShouldBeFalse)
+		_, there = n.Contacts(now.Add(requestedTTL-time.Millisecond), nil, nil)[asked]
 		So(there, ShouldBeTrue)
-		_, there = n.Contacts(now.Add(askedLinger+time.Millisecond), nil, nil)[asked]
+		_, there = n.Contacts(now.Add(requestedTTL+time.Millisecond), nil, nil)[asked]
 		So(there, ShouldBeFalse)
 	})
 }
--- a/pkg/membership/probe_test.go
+++ b/pkg/membership/probe_test.go
@@ -14,15 +14,15 @@
 func TestProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A lost box is tried by a few others at a time", t, func() {
-			f := newFleet(manyBoxes, zones, 5)
+			f := newFleet(boxCount, zones, 5)
 			f.run(6 * time.Second)
 			lost := f.nodes[7]
 			f.kill(lost)
-			f.run(2 * linger)
+			f.run(2 * neighbourTTL)
 			tried, most := 0, 0
 			const seconds = 10
 			for range seconds {
-				f.run(probeFor)
+				f.run(probeInterval)
 				now := 0
 				for _, n := range f.nodes {
 					if _, wanted := n.contacts[lost.Self.Box]; wanted && n != lost {
@@ -33,7 +33,7 @@
 			}
 			t.Logf("%d boxes try it at a time, %d at most", tried/seconds, most)
 			So(tried, ShouldBeGreaterThan, 0)
-			So(most, ShouldBeLessThan, 8*probesEach)
+			So(most, ShouldBeLessThan, 8*probersPerBox)
 		})
 	})
 }
@@ -44,11 +44,11 @@
 		turns := map[int]string{}
 		for own, cores := range fleet {
 			v := &View{Self: peer.Sender{Box: own, PeerAddress: own, Incarnation: 1, Cores: cores}}
-			v.Configure(true, false)
+			v.SetStatus(true, false)
 			for other, cores := range fleet {
-				v.Listed(peer.Sender{Box: other, PeerAddress: other, Cores: cores})
+				v.AddListed(peer.Sender{Box: other, PeerAddress: other, Cores: cores})
 			}
-			turns[v.Turn()] = own
+			turns[v.StartRank()] = own
 		}
 		So(turns, ShouldHaveLength, len(fleet))
 		So([]string{turns[0], turns[1]}, ShouldContain, "large-1")
--- a/pkg/membership/simulation_test.go
+++ b/pkg/membership/simulation_test.go
@@ -12,12 +12,12 @@
 
 // The timing of the simulated fleet, after that of the gateway.
 const (
-	step       = 10 * time.Millisecond
-	chooseEach = 20 * step
-	heartbeat  = 100 * step
-	lapse      = 250 * step
+	step           = 10 * time.Millisecond
+	chooseInterval = 20 * step
+	heartbeat      = 100 * step
+	lapse          = 250 * step
 	// dialTime is how long an attempt to open a session takes where nobody answers.
-	dialTime = 50 * step
+	dialTimeout = 50 * step
 )
 
 // node is a simulated box.
@@ -25,8 +25,8 @@
 	View
 	down, frozen bool
 	// island is the part of the network that it is in.
-	island   int
-	contacts map[string]peer.Contact
+	partition int
+	contacts  map[string]peer.Contact
 	// open are its sessions, by the other's name.
 	open map[string]*session
 	// dialled is when an attempt at a session began.
@@ -40,10 +40,10 @@
 	// incarnation is that of the other box at the opening.
 	incarnation uint64
 	from        peer.Sender
-	told        bool
+	sentAny     bool
 	mark        uint64
-	toldAt      time.Time
-	heardAt     time.Time
+	sentAt      time.Time
+	receivedAt  time.Time
 }
 
 // fleet simulates boxes that tell each other over sessions, with clocks of synctest.
@@ -81,11 +81,11 @@
 	self := n.Self
 	self.Incarnation = f.next
 	n.View = View{Self: self}
-	n.Configure(true, false)
+	n.SetStatus(true, false)
 	n.contacts, n.open, n.dialled = nil, map[string]*session{}, map[string]time.Time{}
 	n.down, n.frozen = false, false
 	for _, other := range f.nodes {
-		n.Listed(other.Self)
+		n.AddListed(other.Self)
 	}
 }
 
@@ -104,13 +104,13 @@
 
 func (f *fleet) close(n *node, s *session) {
 	delete(n.open, s.to.Self.Box)
-	if !s.to.down && s.told && s.to.Self.Incarnation == s.incarnation {
-		s.to.Silent(s.from)
+	if !s.to.down && s.sentAny && s.to.Self.Incarnation == s.incarnation {
+		s.to.HandlePeerLost(s.from)
 	}
 }
 
 func (f *fleet) connected(a, b *node) bool {
-	return !a.down && !b.down && !a.frozen && !b.frozen && a.island == b.island
+	return !a.down && !b.down && !a.frozen && !b.frozen && a.partition == b.partition
 }
 
 // run passes time.
@@ -123,15 +123,15 @@
 				continue
 			}
 			at := f.steps + n.phase
-			if at%int(chooseEach/step) == 0 {
+			if at%int(chooseInterval/step) == 0 {
 				f.choose(n)
 			}
 			f.dial(n)
-			if at%int(n.NewsDelay()/step) == 0 {
-				f.tell(n)
+			if at%int(n.RowsDelay()/step) == 0 {
+				f.sendUpdates(n)
 			}
 		}
-		f.lapse()
+		f.closeLapsed()
 	}
 }
 
@@ -151,7 +151,7 @@
 
 func (f *fleet) dial(n *node) {
 	for name := range n.contacts {
-		if n.open[name] != nil || time.Since(n.dialled[name]) < dialTime {
+		if n.open[name] != nil || time.Since(n.dialled[name]) < dialTimeout {
 			continue
 		}
 		n.dialled[name] = time.Now()
@@ -159,32 +159,32 @@
 		if to == nil || !f.connected(n, to) {
 			continue
 		}
-		n.open[name] = &session{to: to, incarnation: to.Self.Incarnation, from: n.Self, heardAt: time.Now()}
+		n.open[name] = &session{to: to, incarnation: to.Self.Incarnation, from: n.Self, receivedAt: time.Now()}
 	}
 }
 
-func (f *fleet) tell(n *node) {
+func (f *fleet) sendUpdates(n *node) {
 	for name, s := range n.open {
 		contact := n.contacts[name]
-		if !contact.Told || !f.connected(n, s.to) || s.to.Self.Incarnation != s.incarnation {
+		if !contact.SendsUpdates || !f.connected(n, s.to) || s.to.Self.Incarnation != s.incarnation {
 			continue
 		}
 		rows, mark := n.Rows(s.mark, name)
-		if len(rows) == 0 && s.told && time.Since(s.toldAt) < heartbeat {
+		if len(rows) == 0 && s.sentAny && time.Since(s.sentAt) < heartbeat {
 			continue
 		}
 		f.rows += len(rows)
 		f.messages++
-		s.mark, s.told, s.toldAt, s.heardAt = mark, true, time.Now(), time.Now()
-		s.to.Hear(n.Self, peer.State{Revision: 1, Chosen: contact.Chosen, Rows: rows})
+		s.mark, s.sentAny, s.sentAt, s.receivedAt = mark, true, time.Now(), time.Now()
+		s.to.HandleUpdate(n.Self, peer.State{Revision: 1, Chosen: contact.Chosen, Rows: rows})
 	}
 }
 
 // lapse closes the sessions over which nothing came for too long.
-func (f *fleet) lapse() {
+func (f *fleet) closeLapsed() {
 	for _, n := range f.nodes {
 		for _, s := range n.open {
-			if !f.connected(n, s.to) && time.Since(s.heardAt) > lapse {
+			if !f.connected(n, s.to) && time.Since(s.receivedAt) > lapse {
 				f.close(n, s)
 			}
 		}
@@ -192,15 +192,15 @@
 }
 
 // agree tells whether each box that is up finds alive just those of its island.
-func (f *fleet) agree() bool {
+func (f *fleet) isAgreed() bool {
 	up := map[int]int{}
 	for _, n := range f.nodes {
 		if !n.down && !n.frozen {
-			up[n.island]++
+			up[n.partition]++
 		}
 	}
 	for _, n := range f.nodes {
-		if !n.down && !n.frozen && n.CountLive() != up[n.island]-1 {
+		if !n.down && !n.frozen && n.CountLive() != up[n.partition]-1 {
 			return false
 		}
 	}
@@ -210,10 +210,10 @@
 // agreeWithin runs until all agree, and tells how long that took.
 func (f *fleet) agreeWithin(most time.Duration) time.Duration {
 	began := time.Now()
-	for time.Since(began) < most && !f.agree() {
-		f.run(newsDelayLeast)
+	for time.Since(began) < most && !f.isAgreed() {
+		f.run(minRowsDelay)
 	}
-	if !f.agree() {
+	if !f.isAgreed() {
 		return time.Hour
 	}
 	return time.Since(began)
@@ -249,7 +249,7 @@
 		}
 	}
 	slices.SortFunc(nodes, func(a, b *node) int {
-		return cmp.Compare(position(b.Self.Box, followRing), position(a.Self.Box, followRing))
+		return cmp.Compare(ringPosition(b.Self.Box, followRing), ringPosition(a.Self.Box, followRing))
 	})
 	return nodes[:2]
 }
@@ -258,8 +258,8 @@
 func (f *fleet) tryStore(away map[*node]bool) {
 	for range 10 {
 		for _, n := range f.nodes {
-			if n.Follows() && n.own.StoreLost != away[n] {
-				n.NoteStore(away[n])
+			if n.IsFollower() && n.own.StoreLost != away[n] {
+				n.SetStoreLost(away[n])
 			}
 		}
 		f.run(time.Second / 2)
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -27,35 +27,35 @@
 
 	mu sync.Mutex
 	// own is this box's row. It is told anew at ownDue, where that is not zero.
-	own    entry
-	ownDue time.Time
+	own          entry
+	ownUpdateDue time.Time
 	// ownAt is when it last changed.
-	ownAt time.Time
+	ownUpdatedAt time.Time
 	// rows are those of other incarnations, alive or not.
 	rows map[uint64]*entry
 	// heard are the boxes that tell this one of themselves.
-	heard map[uint64]*source
+	senders map[uint64]*sender
 	// clock counts what became news, startedAt is when this box's row first did, and
 	// newsAt when any last did.
-	clock             uint64
-	startedAt, newsAt time.Time
+	changeCount             uint64
+	startedAt, lastChangeAt time.Time
 	// log holds the changes in the order of the clock; that a row has changed again
 	// since is told by its own news.
 	log []change
 	// live holds the rows of the other boxes that are alive; nil after a change.
 	// Takers are those of them that take work.
-	live, takers []*entry
+	live, accepting []*entry
 	// version counts the changes after which live is nil.
 	version uint64
 	// standing and recent hold what was last found of the fleet, for a while.
-	standing standing
-	recent   recent
+	candidateCache candidateCache
+	recentCount    recentCount
 	// all are the candidates in boxes: they are looked over far more often than looked up.
-	all []*candidate
+	all []*knownBox
 	// boxes are all that were ever heard of, by name.
-	boxes map[string]*candidate
+	boxes map[string]*knownBox
 	// probe is a lost box that is being tried, until probeUntil.
-	probe      string
+	probing    string
 	probeUntil time.Time
 }
 
@@ -63,27 +63,27 @@
 type entry struct {
 	peer.Row
 	// news is the clock when it last changed.
-	news uint64
+	lastChange uint64
 	// from are the boxes that told the change; they need not be told it.
-	from []string
+	knownBy []string
 	// storeLostAt is since when the box says that it does not reach the store.
 	storeLostAt time.Time
 	// reached marks that the last search found the box alive.
-	reached bool
+	alive bool
 	// box is what is known of the box as one to have a session to; nil where it has no address.
-	box *candidate
+	box *knownBox
 	// lostAt is when the box was first found not to be alive; zero while it is.
 	lostAt time.Time
 }
 
 // change is what became news when the clock stood at a value.
 type change struct {
-	news uint64
-	row  *entry
+	number uint64
+	row    *entry
 }
 
 // source is a box with an open stream to this one.
-type source struct {
+type sender struct {
 	peer.Sender
 	// chosen is set where that box keeps the session by its own choice.
 	chosen bool
@@ -93,49 +93,49 @@
 	// keepLost is how long the row of a box that is not alive is kept, so that an
 	// older account of it is known for what it is. Sessions that last from before a
 	// cut pass on changes only, and cuts of minutes are ordinary.
-	keepLost = 10 * time.Minute
+	lostRowTTL = 10 * time.Minute
 	// newsAfter is how long a box has to be lost for its return to be news to the
 	// neighbours, though its row is as it was: they may have forgotten it meanwhile.
 	// It is far from keepLost, as boxes start to count at different times.
-	newsAfter = keepLost / 10
+	reannounceAfter = lostRowTTL / 10
 	// mostRows bounds the rows that are kept.
-	mostRows = 8192
+	maxRows = 8192
 	// ownLeast is the least time between two changes of this box's row because of
 	// whom it hears: while a fleet starts, a box hears another one every few
 	// milliseconds, and each change crosses the fleet. Without it, each row crossed a
 	// starting fleet of 350 some ten times, 5 MB for each box.
-	ownLeast = 250 * time.Millisecond
+	minOwnUpdateInterval = 250 * time.Millisecond
 )
 
 // Configure notes what is in force at this box.
-func (v *View) Configure(configured, leaving bool) {
+func (v *View) SetStatus(configured, leaving bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.own.Configured != configured || v.own.Leaving != leaving {
 		v.own.Configured, v.own.Leaving = configured, leaving
-		v.changeOwn(time.Now())
+		v.updateOwnRow(time.Now())
 	}
 }
 
 // changeOwn makes this box's row news. The lock is held.
-func (v *View) changeOwn(now time.Time) {
-	v.ownAt, v.ownDue = now, time.Time{}
+func (v *View) updateOwnRow(now time.Time) {
+	v.ownUpdatedAt, v.ownUpdateDue = now, time.Time{}
 	v.own.Sender = v.Self
 	v.own.Sequence++
-	v.noteNews(&v.own)
+	v.recordChange(&v.own)
 	v.own.Heard = v.own.Heard[:0:0]
-	for incarnation := range v.heard {
+	for incarnation := range v.senders {
 		v.own.Heard = append(v.own.Heard, peer.ShortIncarnation(incarnation))
 	}
 	slices.Sort(v.own.Heard)
-	v.changed()
+	v.invalidate()
 }
 
 // changeOwnSoon does so when the last change is long enough ago. The lock is held.
-func (v *View) changeOwnSoon() {
-	v.changed()
-	if v.ownDue.IsZero() {
-		v.ownDue = v.ownAt.Add(ownLeast)
+func (v *View) scheduleOwnUpdate() {
+	v.invalidate()
+	if v.ownUpdateDue.IsZero() {
+		v.ownUpdateDue = v.ownUpdatedAt.Add(minOwnUpdateInterval)
 	}
 }
 
@@ -144,48 +144,48 @@
 func (v *View) Refresh(now time.Time) (news bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.ownDue.IsZero() || now.Before(v.ownDue) {
+	if v.ownUpdateDue.IsZero() || now.Before(v.ownUpdateDue) {
 		return false
 	}
-	v.changeOwn(now)
+	v.updateOwnRow(now)
 	return true
 }
 
 // changed notes that other boxes may be alive than before. The lock is held.
-func (v *View) changed() {
+func (v *View) invalidate() {
 	v.live = nil
 	v.version++
 }
 
 // noteNews has a row told to the neighbours. The lock is held.
-func (v *View) noteNews(row *entry) {
-	v.clock++
-	row.news = v.clock
-	v.newsAt = time.Now()
+func (v *View) recordChange(row *entry) {
+	v.changeCount++
+	row.lastChange = v.changeCount
+	v.lastChangeAt = time.Now()
 	if v.startedAt.IsZero() {
-		v.startedAt = v.newsAt
+		v.startedAt = v.lastChangeAt
 	}
 	if len(v.log) > 2*(len(v.rows)+1) {
-		v.log = slices.DeleteFunc(v.log, func(c change) bool { return c.row.news != c.news })
+		v.log = slices.DeleteFunc(v.log, func(c change) bool { return c.row.lastChange != c.number })
 	}
-	v.log = append(v.log, change{news: v.clock, row: row})
+	v.log = append(v.log, change{number: v.changeCount, row: row})
 }
 
 // Hear takes what a box tells on a stream to this one. It reports whether something
 // became news for the others.
-func (v *View) Hear(from peer.Sender, state peer.State) (news bool) {
+func (v *View) HandleUpdate(from peer.Sender, state peer.State) (news bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.prepare()
-	before := v.clock
+	v.ensureMaps()
+	before := v.changeCount
 	if from.Incarnation == v.Self.Incarnation {
 		return false
 	}
-	known := v.heard[from.Incarnation]
+	known := v.senders[from.Incarnation]
 	if known == nil {
-		known = &source{Sender: from}
-		v.heard[from.Incarnation] = known
-		v.changeOwnSoon()
+		known = &sender{Sender: from}
+		v.senders[from.Incarnation] = known
+		v.scheduleOwnUpdate()
 	}
 	known.chosen = state.Chosen
 	if v.rows[from.Incarnation] == nil {
@@ -194,17 +194,17 @@
 	for i := range state.Rows {
 		v.merge(&state.Rows[i], from.Box)
 	}
-	if v.clock != before {
-		v.changed()
+	if v.changeCount != before {
+		v.invalidate()
 	}
-	return v.clock != before
+	return v.changeCount != before
 }
 
-func (v *View) prepare() {
+func (v *View) ensureMaps() {
 	if v.rows == nil {
 		v.rows = map[uint64]*entry{}
-		v.heard = map[uint64]*source{}
-		v.boxes = map[string]*candidate{}
+		v.senders = map[uint64]*sender{}
+		v.boxes = map[string]*knownBox{}
 	}
 }
 
@@ -215,8 +215,8 @@
 	}
 	known := v.rows[row.Incarnation]
 	if known != nil && known.Sequence == row.Sequence {
-		if !slices.Contains(known.from, from) {
-			known.from = append(known.from, from)
+		if !slices.Contains(known.knownBy, from) {
+			known.knownBy = append(known.knownBy, from)
 		}
 		return
 	}
@@ -224,7 +224,7 @@
 		return
 	}
 	if known == nil {
-		if len(v.rows) >= mostRows {
+		if len(v.rows) >= maxRows {
 			return
 		}
 		known = &entry{}
@@ -234,18 +234,18 @@
 		known.storeLostAt = time.Now()
 	}
 	known.Row = *row
-	known.from = append(known.from[:0], from)
-	v.noteNews(known)
-	known.box = v.meet(row.Sender)
+	known.knownBy = append(known.knownBy[:0], from)
+	v.recordChange(known)
+	known.box = v.addBox(row.Sender)
 }
 
 // Silent notes that a box's last stream to this one has ended.
-func (v *View) Silent(from peer.Sender) {
+func (v *View) HandlePeerLost(from peer.Sender) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.heard[from.Incarnation] != nil {
-		delete(v.heard, from.Incarnation)
-		v.changeOwnSoon()
+	if v.senders[from.Incarnation] != nil {
+		delete(v.senders, from.Incarnation)
+		v.scheduleOwnUpdate()
 	}
 }
 
@@ -255,25 +255,25 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.own.Sequence == 0 {
-		v.changeOwn(time.Now())
+		v.updateOwnRow(time.Now())
 	}
-	first, _ := slices.BinarySearchFunc(v.log, since, func(c change, since uint64) int { return cmp.Compare(c.news, since+1) })
+	first, _ := slices.BinarySearchFunc(v.log, since, func(c change, since uint64) int { return cmp.Compare(c.number, since+1) })
 	for _, c := range v.log[first:] {
-		if c.row.news == c.news && c.row.Box != to && (since == 0 || !slices.Contains(c.row.from, to)) {
+		if c.row.lastChange == c.number && c.row.Box != to && (since == 0 || !slices.Contains(c.row.knownBy, to)) {
 			rows = append(rows, c.row.Row)
 		}
 	}
-	return rows, v.clock
+	return rows, v.changeCount
 }
 
 // search finds the boxes that are alive: those heard here, those that they hear, and
 // so on. The lock is held.
-func (v *View) search() []*entry {
+func (v *View) findLive() []*entry {
 	if v.live != nil {
 		return v.live
 	}
 	for _, one := range v.rows {
-		one.reached = false
+		one.alive = false
 	}
 	live := make([]*entry, 0, len(v.rows))
 	byShort := make(map[uint32]*entry, len(v.rows))
@@ -281,12 +281,12 @@
 		byShort[peer.ShortIncarnation(incarnation)] = one
 	}
 	reach := func(short uint32) {
-		if one := byShort[short]; one != nil && !one.reached {
-			one.reached = true
+		if one := byShort[short]; one != nil && !one.alive {
+			one.alive = true
 			live = append(live, one)
 		}
 	}
-	for incarnation := range v.heard {
+	for incarnation := range v.senders {
 		reach(peer.ShortIncarnation(incarnation))
 	}
 	for i := 0; i < len(live); i++ {
@@ -294,29 +294,29 @@
 			reach(short)
 		}
 	}
-	v.live, v.takers = live, nil
+	v.live, v.accepting = live, nil
 	for _, one := range live {
 		if !one.Leaving {
-			v.takers = append(v.takers, one)
+			v.accepting = append(v.accepting, one)
 		}
 	}
-	v.noteLost(time.Now())
+	v.updateLost(time.Now())
 	return live
 }
 
 // noteLost notes since when boxes are lost, and what their return makes news. The lock
 // is held.
-func (v *View) noteLost(now time.Time) {
+func (v *View) updateLost(now time.Time) {
 	for incarnation, one := range v.rows {
 		switch {
-		case !one.reached && one.lostAt.IsZero():
+		case !one.alive && one.lostAt.IsZero():
 			one.lostAt = now
-		case !one.reached && now.Sub(one.lostAt) > keepLost:
-			one.news = 0
+		case !one.alive && now.Sub(one.lostAt) > lostRowTTL:
+			one.lastChange = 0
 			delete(v.rows, incarnation)
-		case one.reached && !one.lostAt.IsZero():
-			if now.Sub(one.lostAt) > newsAfter {
-				v.noteNews(one)
+		case one.alive && !one.lostAt.IsZero():
+			if now.Sub(one.lostAt) > reannounceAfter {
+				v.recordChange(one)
 			}
 			one.lostAt = time.Time{}
 		}
@@ -328,8 +328,8 @@
 func (v *View) EachLive(call func(*peer.Row)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.search()
-	for _, one := range v.takers {
+	v.findLive()
+	for _, one := range v.accepting {
 		call(&one.Row)
 	}
 }
@@ -338,29 +338,29 @@
 func (v *View) CountLive() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.search()
-	return len(v.takers)
+	v.findLive()
+	return len(v.accepting)
 }
 
 const (
 	// settleTime is how long no news has to come for a starting box to believe that it
 	// knows the fleet: news crosses 300 boxes in a quarter of a second.
-	settleTime = 300 * time.Millisecond
+	minSettleDelay = 300 * time.Millisecond
 	// settleMost is when it believes so in any case: boxes may come and go all the
 	// time.
-	settleMost = 3 * time.Second
+	maxSettleDelay = 3 * time.Second
 )
 
 // Settled tells whether this box, since it started, has had time to learn of the fleet.
 // One that hears nobody, though others are listed, has not: it may just be slow.
-func (v *View) Settled(now time.Time) bool {
+func (v *View) IsSettled(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if now.Sub(v.startedAt) > settleMost {
+	if now.Sub(v.startedAt) > maxSettleDelay {
 		return true
 	}
-	alone := len(v.heard) == 0 && len(v.boxes) > 0
-	return !alone && now.Sub(v.newsAt) > settleTime
+	alone := len(v.senders) == 0 && len(v.boxes) > 0
+	return !alone && now.Sub(v.lastChangeAt) > minSettleDelay
 }
 
 // Version rises with each change of the boxes that are alive or of what they say.
--- a/pkg/partition/assignment.go
+++ b/pkg/partition/assignment.go
@@ -20,43 +20,43 @@
 	// large are the boxes that the groups were shared among, by hash in order.
 	large []membership.Candidate
 	// first are the boxes by group; empty where all boxes count alike.
-	first []string
+	assigned []string
 }
 
 const (
 	// largePart of the most processor time that any box has makes a large one.
-	largePart = 0.5
+	minLargeFraction = 0.5
 	// spreadEnough is the number of large boxes for a group from which on chance alone spreads
 	// the groups well enough.
-	spreadEnough = 4
+	minHashOnlyRatio = 4
 	// assignSlack is how far beyond an even part of the groups a box may have: with none, one
 	// box that goes would move most of them.
-	assignSlack = 1.25
+	maxLoadFactor = 1.25
 )
 
 // Of is the box that is to dispatch for a group; empty where the ranking alone decides.
-func (a *Assignment) Of(service string, group, groups int, own membership.Candidate, others []membership.Candidate) string {
+func (a *Assignment) BoxFor(service string, group, groups int, own membership.Candidate, others []membership.Candidate) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	large := largeBoxes(own, others)
-	if len(a.first) != groups || !slices.EqualFunc(a.large, large, sameBox) {
-		a.large, a.first = large, assign(service, groups, large)
+	if len(a.assigned) != groups || !slices.EqualFunc(a.large, large, isSameBox) {
+		a.large, a.assigned = large, assign(service, groups, large)
 	}
-	return a.first[group]
+	return a.assigned[group]
 }
 
-func sameBox(a, b membership.Candidate) bool { return a.Name == b.Name && a.Cores == b.Cores }
+func isSameBox(a, b membership.Candidate) bool { return a.Name == b.Name && a.Cores == b.Cores }
 
 func largeBoxes(own membership.Candidate, others []membership.Candidate) (large []membership.Candidate) {
 	most := own.Cores
 	for i := range others {
 		most = max(most, others[i].Cores)
 	}
-	if own.Cores >= largePart*most {
+	if own.Cores >= minLargeFraction*most {
 		large = append(large, own)
 	}
 	for i := range others {
-		if others[i].Cores >= largePart*most {
+		if others[i].Cores >= minLargeFraction*most {
 			large = append(large, others[i])
 		}
 	}
@@ -69,13 +69,13 @@
 // assign gives each group the first box by its ranking that has not its share yet.
 func assign(service string, groups int, large []membership.Candidate) []string {
 	first := make([]string, groups)
-	if len(large) >= spreadEnough*groups {
+	if len(large) >= minHashOnlyRatio*groups {
 		return first
 	}
-	most := int(assignSlack*float64(groups)/float64(len(large))) + 1
+	most := int(maxLoadFactor*float64(groups)/float64(len(large))) + 1
 	taken := make([]int, len(large))
 	for group := range first {
-		key := xxhash.Sum64String(Name(service, group))
+		key := xxhash.Sum64String(GroupName(service, group))
 		best, bestScore := -1, 0.0
 		for i := range large {
 			if taken[i] == most {
--- a/pkg/partition/partition.go
+++ b/pkg/partition/partition.go
@@ -14,23 +14,23 @@
 // Engines is the number of engines that one box dispatches for. With more in a group,
 // customers' shares and the load of engines even out better; for these, a box takes some 1500
 // requests a second, at about 0.2 ms each, and a look at a long line each tick.
-const Engines = 192
+const MaxGroupEngines = 192
 
 // Count is the number of groups of a pool: a power of two, so that it seldom changes.
 func Count(engines int) int {
 	count := 1
-	for count*Engines < engines {
+	for count*MaxGroupEngines < engines {
 		count *= 2
 	}
 	return count
 }
 
 // Name is what a group is called on the wire.
-func Name(service string, group int) string { return fmt.Sprintf("%s/%d", service, group) }
+func GroupName(service string, group int) string { return fmt.Sprintf("%s/%d", service, group) }
 
 // Of is the group that a key goes to, by weighted rendezvous hash: each group gets a part that
 // goes with its weight, and few keys change group when a weight changes.
-func Of(key uint64, weights []int) int {
+func GroupOf(key uint64, weights []int) int {
 	best, bestScore := 0, math.Inf(-1)
 	for i, weight := range weights {
 		if weight == 0 {
--- a/pkg/partition/partition_test.go
+++ b/pkg/partition/partition_test.go
@@ -17,7 +17,7 @@
 		if i%20 == 0 {
 			cores = 1.6
 		}
-		found = append(found, membership.Candidate{Name: fmt.Sprintf("box-%d", i), Hash: uint64(i) * 0x9e3779b97f4a7c15, Cores: cores, Heard: true})
+		found = append(found, membership.Candidate{Name: fmt.Sprintf("box-%d", i), Hash: uint64(i) * 0x9e3779b97f4a7c15, Cores: cores, Alive: true})
 	}
 	return found
 }
@@ -26,7 +26,7 @@
 	Convey("The first boxes are alike for all, wherever each stands in its list", t, func() {
 		fleet := candidatesOf(400)
 		first := Rank("llm/3", fleet[0], fleet[1:])
-		So(first, ShouldHaveLength, mostRanked)
+		So(first, ShouldHaveLength, maxRanked)
 		for own := range 20 {
 			others := append(append([]membership.Candidate{}, fleet[own+1:]...), fleet[:own]...)
 			So(Rank("llm/3", fleet[own], others), ShouldResemble, first)
@@ -43,7 +43,7 @@
 		shared := Assignment{}
 		first := make([]string, groups)
 		for group := range first {
-			first[group] = shared.Of("llm", group, groups, fleet[0], fleet[1:])
+			first[group] = shared.BoxFor("llm", group, groups, fleet[0], fleet[1:])
 		}
 		return first
 	}
--- a/pkg/peer/reach_test.go
+++ b/pkg/peer/connect_test.go
@@ -14,12 +14,12 @@
 )
 
 // mute tells and hears nothing.
-type mute struct{}
+type noopBox struct{}
 
-func (mute) State() State               { return State{} }
-func (mute) Snapshot() (uint64, []byte) { return 0, nil }
-func (mute) Heard(Sender, State, bool)  {}
-func (mute) Silent(Sender)              {}
+func (noopBox) State() State                     { return State{} }
+func (noopBox) Snapshot() (uint64, []byte)       { return 0, nil }
+func (noopBox) HandleUpdate(Sender, State, bool) {}
+func (noopBox) HandlePeerLost(Sender)            {}
 
 // startExchange runs an exchange on loopback until the test ends.
 func startExchange(t *testing.T, name string, incarnation uint64) (e *Exchange, address string) {
@@ -29,7 +29,7 @@
 	}
 	own := settings.DefaultBox()
 	own.Name = name
-	e = &Exchange{Box: own, Incarnation: incarnation, Teller: mute{}, Listener: mute{}, Log: zap.NewNop()}
+	e = &Exchange{Box: own, Incarnation: incarnation, States: noopBox{}, Handler: noopBox{}, Log: zap.NewNop()}
 	ctx, stop := context.WithCancel(context.Background())
 	group := errgroup.Group{}
 	group.Go(func() error { return e.Run(ctx, listener) })
@@ -55,12 +55,12 @@
 		_, address := startExchange(t, "asked", 2)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		So(asking.Reaches("asked"), ShouldBeFalse)
-		So(asking.Reach(ctx, "asked", address), ShouldBeNil)
-		So(asking.Reaches("asked"), ShouldBeTrue)
+		So(asking.IsConnected("asked"), ShouldBeFalse)
+		So(asking.Connect(ctx, "asked", address), ShouldBeNil)
+		So(asking.IsConnected("asked"), ShouldBeTrue)
 		asking.SetContacts(map[string]Contact{})
-		So(asking.Reach(ctx, "asked", address), ShouldBeNil)
-		So(asking.Reaches("asked"), ShouldBeTrue)
+		So(asking.Connect(ctx, "asked", address), ShouldBeNil)
+		So(asking.IsConnected("asked"), ShouldBeTrue)
 	})
 	Convey("Where nobody answers, the one that asked knows at once", t, func() {
 		asking, _ := startExchange(t, "asking", 1)
@@ -70,7 +70,7 @@
 		So(listener.Close(), ShouldBeNil)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		So(asking.Reach(ctx, "gone", address), ShouldNotBeNil)
+		So(asking.Connect(ctx, "gone", address), ShouldNotBeNil)
 		So(ctx.Err(), ShouldBeNil)
 	})
 }
--- a/pkg/peer/conversions.go
+++ b/pkg/peer/conversions.go
@@ -31,14 +31,14 @@
 		Revision:  state.Revision,
 		Leaving:   state.Leaving,
 		Directory: uint64(state.Directory),
-		Knowledge: KnowledgeMessage(state.Knowledge),
+		Knowledge: EncodeKnowledge(state.Knowledge),
 		Orders:    uint64(state.Orders),
 		Chosen:    state.Chosen,
 		Rows:      encodeRows(state.Rows),
-		Ends:      EndMessages(state.Ends),
+		Ends:      EncodeEnds(state.Ends),
 
-		Departures: DepartureMessages(state.Departures),
-		Rollouts:   rolloutMessages(state.Rollouts),
+		Departures: EncodeDepartures(state.Departures),
+		Rollouts:   encodeRolloutVerdicts(state.Rollouts),
 	}
 	for name, pool := range state.Pools {
 		if poolUpdate := e.encodePool(update, name, pool); poolUpdate != nil {
@@ -60,7 +60,7 @@
 	result := &peerpb.PoolUpdate{Demand: uint32(pool.Demand)}
 	for customer, now := range pool.Customers {
 		before, had := last.Customers[customer]
-		if had && sameAccount(before, now) {
+		if had && isSameAccount(before, now) {
 			continue
 		}
 		result.Customers = append(result.Customers, e.number(update, customer))
@@ -82,7 +82,7 @@
 	return int64(customer.Pending / PendingUnit)
 }
 
-func sameAccount(a, b CustomerState) bool {
+func isSameAccount(a, b CustomerState) bool {
 	return a.Served == b.Served && pendingUnits(a) == pendingUnits(b) && a.Waiting == b.Waiting
 }
 
@@ -110,12 +110,12 @@
 }
 
 // UnevenUpdateError reports an update whose parallel fields do not match.
-type UnevenUpdateError struct {
+type LengthMismatchError struct {
 	Customers, Served, Pending, Waiting, Leads int
 }
 
 // Error says that the update is malformed.
-func (e *UnevenUpdateError) Error() string {
+func (e *LengthMismatchError) Error() string {
 	return "an update's fields have different lengths"
 }
 
@@ -131,19 +131,19 @@
 		Revision:  update.Revision,
 		Leaving:   update.Leaving,
 		Directory: epoch.Version(update.Directory),
-		Knowledge: KnowledgeOf(update.Knowledge),
+		Knowledge: DecodeKnowledge(update.Knowledge),
 		Orders:    epoch.Version(update.Orders),
 		Chosen:    update.Chosen,
 		Rows:      decodeRows(update.Rows),
-		Ends:      EndsOf(update.Ends),
+		Ends:      DecodeEnds(update.Ends),
 
-		Departures: DeparturesOf(update.Departures),
-		Rollouts:   rolloutsOf(update.Rollouts),
+		Departures: DecodeDepartures(update.Departures),
+		Rollouts:   decodeRolloutVerdicts(update.Rollouts),
 
 		Pools: make(map[string]PoolState, len(update.Pools)),
 	}
 	for _, pool := range update.Pools {
-		if err := checkEven(pool); err != nil {
+		if err := checkLengths(pool); err != nil {
 			return state, err
 		}
 		state.Pools[d.names[pool.Pool]] = d.decodePool(pool)
@@ -152,7 +152,7 @@
 }
 
 // KnowledgeMessage encodes how much is known of the endpoints.
-func KnowledgeMessage(k route.Knowledge) *peerpb.Knowledge {
+func EncodeKnowledge(k route.Knowledge) *peerpb.Knowledge {
 	return &peerpb.Knowledge{
 		Known:     uint64(k.Known),
 		Base:      uint64(k.Base),
@@ -164,7 +164,7 @@
 }
 
 // KnowledgeOf decodes it; a peer that tells nothing knows nothing.
-func KnowledgeOf(message *peerpb.Knowledge) route.Knowledge {
+func DecodeKnowledge(message *peerpb.Knowledge) route.Knowledge {
 	return route.Knowledge{
 		Known:     epoch.Version(message.GetKnown()),
 		Base:      epoch.Version(message.GetBase()),
@@ -179,7 +179,7 @@
 	encoded := make([]*peerpb.Row, 0, len(rows))
 	for i := range rows {
 		row := &rows[i]
-		box := helloOf(row.Sender)
+		box := encodeSender(row.Sender)
 		box.OperatorAddress = ""
 		encoded = append(encoded, &peerpb.Row{
 			Box:        box,
@@ -201,7 +201,7 @@
 			continue
 		}
 		rows = append(rows, Row{
-			Sender:     senderOf(row.Box),
+			Sender:     decodeSender(row.Box),
 			Sequence:   row.Sequence,
 			Leaving:    row.Leaving,
 			Configured: row.Configured,
@@ -213,15 +213,15 @@
 }
 
 // EndMessages encodes accounts of endpoints that ended.
-func EndMessages(ends []quarantine.End) (messages []*peerpb.EndpointEnd) {
+func EncodeEnds(ends []quarantine.End) (messages []*peerpb.EndpointEnd) {
 	for i := range ends {
-		messages = append(messages, EndMessage(&ends[i]))
+		messages = append(messages, EncodeEnd(&ends[i]))
 	}
 	return messages
 }
 
 // EndMessage encodes one account.
-func EndMessage(end *quarantine.End) *peerpb.EndpointEnd {
+func EncodeEnd(end *quarantine.End) *peerpb.EndpointEnd {
 	return &peerpb.EndpointEnd{
 		Fingerprint: end.Fingerprint[:],
 		Life:        uint64(end.Life),
@@ -231,9 +231,9 @@
 }
 
 // EndsOf decodes accounts; those that name no fingerprint are left out.
-func EndsOf(messages []*peerpb.EndpointEnd) (ends []quarantine.End) {
+func DecodeEnds(messages []*peerpb.EndpointEnd) (ends []quarantine.End) {
 	for _, message := range messages {
-		fingerprint := FingerprintOf(message.Fingerprint)
+		fingerprint := DecodeFingerprint(message.Fingerprint)
 		if fingerprint.IsZero() {
 			continue
 		}
@@ -248,7 +248,7 @@
 }
 
 // DepartureMessages encodes words of endpoints that leave.
-func DepartureMessages(told []lifecycle.Departure) (messages []*peerpb.Departure) {
+func EncodeDepartures(told []lifecycle.Departure) (messages []*peerpb.Departure) {
 	for i := range told {
 		messages = append(messages, &peerpb.Departure{
 			Endpoint: told[i].Endpoint,
@@ -260,7 +260,7 @@
 }
 
 // DeparturesOf decodes them; those that name no endpoint are left out.
-func DeparturesOf(messages []*peerpb.Departure) (told []lifecycle.Departure) {
+func DecodeDepartures(messages []*peerpb.Departure) (told []lifecycle.Departure) {
 	for _, message := range messages {
 		if message.Endpoint == "" {
 			continue
@@ -275,25 +275,25 @@
 }
 
 // FingerprintOf decodes a fingerprint; zero where the bytes are none.
-func FingerprintOf(bytes []byte) (f quarantine.Fingerprint) {
+func DecodeFingerprint(bytes []byte) (f quarantine.Fingerprint) {
 	if len(bytes) == len(f) {
 		copy(f[:], bytes)
 	}
 	return f
 }
 
-func helloOf(sender Sender) *peerpb.Hello {
+func encodeSender(sender Sender) *peerpb.Hello {
 	return &peerpb.Hello{
 		Box:             sender.Box,
 		Zone:            sender.Zone,
 		Incarnation:     sender.Incarnation,
 		OperatorAddress: sender.OperatorAddress,
 		PeerAddress:     sender.PeerAddress,
-		Cores:           uint32(sender.Cores * coreGrain),
+		Cores:           uint32(sender.Cores * coreUnits),
 	}
 }
 
-func checkEven(pool *peerpb.PoolUpdate) error {
+func checkLengths(pool *peerpb.PoolUpdate) error {
 	lengths := []int{len(pool.Served), len(pool.Pending), len(pool.Waiting)}
 	if leads := len(pool.Leads); leads > 0 {
 		lengths = append(lengths, leads)
@@ -302,7 +302,7 @@
 	if !uneven {
 		return nil
 	}
-	return &UnevenUpdateError{
+	return &LengthMismatchError{
 		Customers: len(pool.Customers),
 		Served:    len(pool.Served),
 		Pending:   len(pool.Pending),
--- a/pkg/peer/dispatch.go
+++ b/pkg/peer/dispatch.go
@@ -28,7 +28,7 @@
 
 // outboxLength bounds the messages that wait for a peer; a peer that takes none
 // for so long is not of use.
-const outboxLength = 4096
+const maxOutboxLength = 4096
 
 // outbox holds the messages that wait. It takes memory only while some do: a box has
 // streams by the hundred, most of them at rest.
@@ -36,18 +36,18 @@
 	mu      sync.Mutex
 	waiting []proto.Message
 	// filled tells that messages wait. Capacity 1.
-	filled chan struct{}
+	ready chan struct{}
 }
 
 // put adds a message, unless too many wait.
 func (o *outbox) put(message proto.Message) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.waiting) >= outboxLength {
+	if len(o.waiting) >= maxOutboxLength {
 		return false
 	}
 	o.waiting = append(o.waiting, message)
-	wakeUp(o.filled)
+	signal(o.ready)
 	return true
 }
 
@@ -69,7 +69,7 @@
 		traffic: traffic,
 		stream:  stream,
 		reader:  reader,
-		outbox:  outbox{filled: make(chan struct{}, 1)},
+		outbox:  outbox{ready: make(chan struct{}, 1)},
 		timeout: timeout,
 	}
 }
@@ -98,7 +98,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.outbox.filled:
+		case <-s.outbox.ready:
 			if err := s.writeQueued(writer); err != nil {
 				return err
 			}
@@ -167,7 +167,7 @@
 		// The writer ends with the server, also when that returns no error.
 		defer cancel()
 		defer stream.Close()
-		return e.Dispatch.ServeDispatch(senderOf(hello.Router), hello.Service, stream)
+		return e.Dispatch.ServeDispatch(decodeSender(hello.Router), hello.Service, stream)
 	})
 	return group.Wait()
 }
--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -24,7 +24,7 @@
 )
 
 // Teller gives what this box tells its peers.
-type Teller interface {
+type StateSource interface {
 	// State is how things stand now. It is called for each peer and message.
 	State() State
 	// Snapshot is the settings in force; revision 0 means none.
@@ -32,26 +32,26 @@
 }
 
 // DirectoryTeller gives peers what this box knows of the endpoints.
-type DirectoryTeller interface {
+type DirectorySource interface {
 	// Directory holds what changed after a version of the store.
 	Directory(since uint64) *peerpb.Directory
 }
 
 // OrdersTeller gives peers the operator's orders in force.
-type OrdersTeller interface {
+type OrdersSource interface {
 	// Orders are nil where they are not known.
 	Orders() *route.Orders
 }
 
 // RowTeller gives peers what boxes say of themselves.
-type RowTeller interface {
+type RowSource interface {
 	// Rows are those with news since a mark, but for what the named box told
 	// itself. The first mark of a stream is 0; the next is the one returned.
 	Rows(since uint64, to string) (rows []Row, mark uint64)
 }
 
 // EndTeller gives peers accounts of endpoints that ended while they ran a request.
-type EndTeller interface {
+type EndSource interface {
 	// Since are those with news since a mark, but for what the named box told itself. The
 	// first mark of a stream is 0; the next is the one returned.
 	Since(since uint64, to string, now time.Time) (ends []quarantine.End, mark uint64)
@@ -60,14 +60,14 @@
 }
 
 // DepartureTeller gives peers the endpoints that said in an answer that they leave.
-type DepartureTeller interface {
+type DepartureSource interface {
 	// Departures are those with news since a mark, but for what the named box told itself.
 	// The first mark of a stream is 0; the next is the one returned.
 	Departures(since uint64, to string, now time.Time) (told []lifecycle.Departure, mark uint64)
 }
 
 // RolloutTeller gives peers what this box saw of a roll-out.
-type RolloutTeller interface {
+type RolloutSource interface {
 	// RolloutTally is nil where there is none of the service.
 	RolloutTally(service string) *peerpb.RolloutTally
 }
@@ -79,13 +79,13 @@
 }
 
 // Listener takes what peers tell.
-type Listener interface {
+type Handler interface {
 	// Heard takes a message. First marks the first one of a stream, which
 	// holds everything that the peer knows.
-	Heard(from Sender, news State, first bool)
+	HandleUpdate(from Sender, news State, first bool)
 	// Silent reports that the peer's streams have ended. It must not call the
 	// Exchange.
-	Silent(from Sender)
+	HandlePeerLost(from Sender)
 }
 
 // Exchange runs the sessions of one box.
@@ -93,22 +93,22 @@
 	// Box and Incarnation introduce this process.
 	Box         settings.Box
 	Incarnation uint64
-	Teller      Teller
-	Listener    Listener
+	States      StateSource
+	Handler     Handler
 	// Directory answers peers that ask for the endpoints; nil refuses them.
-	Directory DirectoryTeller
+	Directory DirectorySource
 	// Orders gives the orders that go with settings; nil means none.
-	Orders OrdersTeller
+	Orders OrdersSource
 	// RowTeller gives the rows that go with states; nil means none.
-	RowTeller RowTeller
+	Rows RowSource
 	// RowsDelay is how long rows with news wait for others; nil stands for a default.
 	RowsDelay func() time.Duration
 	// EndTeller gives the accounts that go with states and settings; nil means none.
-	EndTeller EndTeller
+	Ends EndSource
 	// DepartureTeller gives those that go with states and settings; nil means none.
-	DepartureTeller DepartureTeller
+	Departures DepartureSource
 	// Rollouts answers boxes that decide on them; nil refuses them.
-	Rollouts RolloutTeller
+	Rollouts RolloutSource
 	// Dispatch answers routers that ask for engines; nil refuses them.
 	Dispatch DispatchServer
 	Log      *zap.Logger
@@ -120,12 +120,12 @@
 	Traffic Traffic
 
 	mu    sync.Mutex
-	peers map[string]*link
+	links map[string]*link
 	// heard counts the open streams of each sender. A peer that opens a new one
 	// before the old one lapses is not silent.
-	heard map[uint64]int
-	group *errgroup.Group
-	ctx   context.Context
+	streams map[uint64]int
+	group   *errgroup.Group
+	ctx     context.Context
 }
 
 // Run serves peers on the listener and keeps a session to each known peer,
@@ -136,8 +136,8 @@
 	e.mu.Lock()
 	e.group = group
 	e.ctx = ctx
-	e.peers = map[string]*link{}
-	e.heard = map[uint64]int{}
+	e.links = map[string]*link{}
+	e.streams = map[uint64]int{}
 	e.mu.Unlock()
 	e.SetContacts(ContactsOf(e.Box.Peers))
 	group.Go(func() error {
@@ -149,7 +149,7 @@
 }
 
 // coreGrain is the part of a core in which boxes tell their processor time.
-const coreGrain = 1000
+const coreUnits = 1000
 
 // Self introduces this process.
 func (e *Exchange) Self() Sender {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (e *Exchange) hello() *peerpb.Hello { return helloOf(e.Self()) }
+func (e *Exchange) hello() *peerpb.Hello { return encodeSender(e.Self()) }
 
 // sessionConfig turns the library's own heartbeats off; ours carry news.
 func (e *Exchange) sessionConfig() *yamux.Config {
--- a/pkg/peer/fetch.go
+++ b/pkg/peer/fetch.go
@@ -13,10 +13,10 @@
 
 // Fetch asks peers for settings of at least a revision, one after the other,
 // the named one first, and returns the first that has them.
-func (e *Exchange) Fetch(first string, revision uint64) (found uint64, content []byte, err error) {
+func (e *Exchange) FetchSettings(first string, revision uint64) (found uint64, content []byte, err error) {
 	defer func() { err = trace.Wrap(err, "fetching settings from peers") }()
-	for _, l := range e.links(first) {
-		snapshot, err := e.FetchFrom(l.name, revision)
+	for _, l := range e.orderedLinks(first) {
+		snapshot, err := e.FetchSettingsFrom(l.name, revision)
 		if err == nil {
 			return snapshot.Revision, snapshot.Content, nil
 		}
@@ -25,9 +25,9 @@
 }
 
 // FetchFrom asks one peer for settings of at least a revision, with the orders in force.
-func (e *Exchange) FetchFrom(box string, revision uint64) (snapshot *peerpb.Snapshot, err error) {
+func (e *Exchange) FetchSettingsFrom(box string, revision uint64) (snapshot *peerpb.Snapshot, err error) {
 	defer func() { err = trace.Wrap(err, "fetching settings from %s", box) }()
-	snapshot, err = e.snapshotOf(box, &peerpb.SnapshotRequest{Revision: revision})
+	snapshot, err = e.fetchSnapshot(box, &peerpb.SnapshotRequest{Revision: revision})
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 // FetchOrders asks one peer for the operator's orders; nil means that it knows none.
 func (e *Exchange) FetchOrders(box string) (orders *peerpb.Orders, err error) {
 	defer func() { err = trace.Wrap(err, "fetching orders from %s", box) }()
-	snapshot, err := e.snapshotOf(box, &peerpb.SnapshotRequest{Orders: true})
+	snapshot, err := e.fetchSnapshot(box, &peerpb.SnapshotRequest{Orders: true})
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 // knows of none.
 func (e *Exchange) FetchRollout(box, service string) (tally *peerpb.RolloutTally, err error) {
 	defer func() { err = trace.Wrap(err, "fetching what %s saw of the roll-out of %s", box, service) }()
-	snapshot, err := e.snapshotOf(box, &peerpb.SnapshotRequest{Rollout: service})
+	snapshot, err := e.fetchSnapshot(box, &peerpb.SnapshotRequest{Rollout: service})
 	if err != nil {
 		return nil, err
 	}
@@ -59,19 +59,19 @@
 }
 
 // snapshotOf asks the peer to which there is a session.
-func (e *Exchange) snapshotOf(box string, request *peerpb.SnapshotRequest) (*peerpb.Snapshot, error) {
+func (e *Exchange) fetchSnapshot(box string, request *peerpb.SnapshotRequest) (*peerpb.Snapshot, error) {
 	session := e.session(box)
 	if session == nil {
 		return nil, trace.NotFound("no session to the peer")
 	}
-	return e.fetchFrom(session, request)
+	return e.fetchOver(session, request)
 }
 
-func (e *Exchange) links(first string) []*link {
+func (e *Exchange) orderedLinks(first string) []*link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	links := make([]*link, 0, len(e.peers))
-	for _, l := range e.peers {
+	links := make([]*link, 0, len(e.links))
+	for _, l := range e.links {
 		links = append(links, l)
 		if l.name == first {
 			last := len(links) - 1
@@ -92,7 +92,7 @@
 	}
 	directory = &peerpb.Directory{}
 	for more := true; more; {
-		snapshot, err := e.fetchFrom(session, &peerpb.SnapshotRequest{Directory: true, Since: since})
+		snapshot, err := e.fetchOver(session, &peerpb.SnapshotRequest{Directory: true, Since: since})
 		if err != nil {
 			return nil, err
 		}
@@ -114,7 +114,7 @@
 func (e *Exchange) session(name string) *yamux.Session {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.peers[name]
+	l := e.links[name]
 	if l == nil {
 		return nil
 	}
@@ -126,7 +126,7 @@
 // second.
 const fetchTimeout = time.Second
 
-func (e *Exchange) fetchFrom(session *yamux.Session, request *peerpb.SnapshotRequest) (snapshot *peerpb.Snapshot, err error) {
+func (e *Exchange) fetchOver(session *yamux.Session, request *peerpb.SnapshotRequest) (snapshot *peerpb.Snapshot, err error) {
 	stream, err := session.Open()
 	if err != nil {
 		return nil, err
--- a/pkg/peer/fetch_test.go
+++ b/pkg/peer/fetch_test.go
@@ -11,16 +11,16 @@
 )
 
 // inParts tells one endpoint at a time, named like the life that tells it.
-type inParts struct {
-	life string
+type pagedDirectory struct {
+	box string
 	// told is called with each part.
-	told func()
+	onPage func()
 }
 
-func (p inParts) Directory(since uint64) *peerpb.Directory {
-	p.told()
+func (p pagedDirectory) Directory(since uint64) *peerpb.Directory {
+	p.onPage()
 	return &peerpb.Directory{
-		Endpoints: []*peerpb.Endpoint{{ID: p.life, Version: since + 1}},
+		Endpoints: []*peerpb.Endpoint{{ID: p.box, Version: since + 1}},
 		More:      since < 2,
 		Knowledge: &peerpb.Knowledge{Known: since + 1},
 	}
@@ -33,15 +33,15 @@
 		asking, _ := startExchange(t, "asking", 1)
 		asked, address := startExchange(t, "asked", 2)
 		again, addressAgain := startExchange(t, "again", 3)
-		again.Directory = inParts{life: "again", told: func() {}}
+		again.Directory = pagedDirectory{box: "again", onPage: func() {}}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		So(asking.Reach(ctx, "asked", address), ShouldBeNil)
-		So(asking.Reach(ctx, "again", addressAgain), ShouldBeNil)
-		asked.Directory = inParts{life: "asked", told: func() {
+		So(asking.Connect(ctx, "asked", address), ShouldBeNil)
+		So(asking.Connect(ctx, "again", addressAgain), ShouldBeNil)
+		asked.Directory = pagedDirectory{box: "asked", onPage: func() {
 			asking.mu.Lock()
 			defer asking.mu.Unlock()
-			asking.peers["asked"].session.Store(asking.peers["again"].session.Load())
+			asking.links["asked"].session.Store(asking.links["again"].session.Load())
 		}}
 		directory, err := asking.FetchDirectory("asked", 0)
 		So(err, ShouldBeNil)
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -23,27 +23,27 @@
 	address string
 	cancel  context.CancelFunc
 	// wake ends the wait for the next update, and soon shortens it. Capacity 1.
-	wake, soon chan struct{}
+	sendNow, sendSoon chan struct{}
 	// told and chosen are those of the Contact.
-	told, chosen atomic.Bool
+	sendsUpdates, chosen atomic.Bool
 	// redial ends the wait before the session is opened again. Capacity 1.
 	redial  chan struct{}
 	session atomic.Pointer[yamux.Session]
 	// stands is closed while there is a session, and failed once the attempt at one that is
 	// under way has failed. The exchange's lock guards the fields.
-	stands, failed chan struct{}
+	opened, dialFailed chan struct{}
 	// neededUntil is how long the link is kept though it is no contact: a session was asked
 	// for just now. The exchange's lock guards it.
-	neededUntil time.Time
+	keepUntil time.Time
 	// doubted is set while the session is asked for a sign of life.
-	doubted atomic.Bool
+	checking atomic.Bool
 }
 
 // ContactsOf has all of a list of peers told.
 func ContactsOf(peers map[string]settings.Peer) map[string]Contact {
 	contacts := make(map[string]Contact, len(peers))
 	for name, peer := range peers {
-		contacts[name] = Contact{Address: peer.Address, Told: true, Chosen: true}
+		contacts[name] = Contact{Address: peer.Address, SendsUpdates: true, Chosen: true}
 	}
 	return contacts
 }
@@ -56,23 +56,23 @@
 	if e.group == nil || e.ctx.Err() != nil {
 		return
 	}
-	for name, known := range e.peers {
+	for name, known := range e.links {
 		contact, ok := contacts[name]
-		if (!ok && time.Now().After(known.neededUntil)) || (ok && contact.Address != known.address) {
+		if (!ok && time.Now().After(known.keepUntil)) || (ok && contact.Address != known.address) {
 			known.cancel()
-			delete(e.peers, name)
+			delete(e.links, name)
 		}
 	}
 	for name, contact := range contacts {
 		if name == e.Box.Name {
 			continue
 		}
-		l := e.peers[name]
+		l := e.links[name]
 		if l == nil {
 			l = e.addLink(name, contact.Address)
 		}
-		if l.told.Swap(contact.Told) != contact.Told || l.chosen.Swap(contact.Chosen) != contact.Chosen {
-			wakeUp(l.wake)
+		if l.sendsUpdates.Swap(contact.SendsUpdates) != contact.SendsUpdates || l.chosen.Swap(contact.Chosen) != contact.Chosen {
+			signal(l.sendNow)
 		}
 	}
 }
@@ -81,25 +81,25 @@
 func (e *Exchange) addLink(name, address string) *link {
 	ctx, cancel := context.WithCancel(e.ctx)
 	added := &link{
-		name:    name,
-		address: address,
-		cancel:  cancel,
-		wake:    make(chan struct{}, 1),
-		soon:    make(chan struct{}, 1),
-		redial:  make(chan struct{}, 1),
-		stands:  make(chan struct{}),
-		failed:  make(chan struct{}),
+		name:       name,
+		address:    address,
+		cancel:     cancel,
+		sendNow:    make(chan struct{}, 1),
+		sendSoon:   make(chan struct{}, 1),
+		redial:     make(chan struct{}, 1),
+		opened:     make(chan struct{}),
+		dialFailed: make(chan struct{}),
 	}
-	e.peers[name] = added
+	e.links[name] = added
 	e.group.Go(func() error {
-		e.keep(ctx, added)
+		e.maintain(ctx, added)
 		return nil
 	})
 	return added
 }
 
 // wakeUp sends without waiting on a channel of capacity 1.
-func wakeUp(c chan<- struct{}) {
+func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -111,20 +111,20 @@
 // up within a few hundred milliseconds of each other: with a wait of a whole
 // heartbeat, a third of the sessions stood 1 to 1.7 s late, and as long several
 // boxes dispatched for the same engines.
-const redialSoonest = 50 * time.Millisecond
+const minRedialDelay = 50 * time.Millisecond
 
 // keep opens the session to a peer again and again until it is cancelled.
-func (e *Exchange) keep(ctx context.Context, l *link) {
-	pause := redialSoonest
+func (e *Exchange) maintain(ctx context.Context, l *link) {
+	pause := minRedialDelay
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := e.tell(ctx, l)
+		err := e.runSession(ctx, l)
 		if ctx.Err() != nil {
 			return
 		}
 		e.Log.Debug("session to peer ended", zap.String("Peer", l.name), zap.Error(err))
 		if time.Since(began) > e.Box.Exchange.Lapse.Duration {
-			pause = redialSoonest
+			pause = minRedialDelay
 		}
 		if interval.WaitOr(ctx, interval.Jittered(pause), l.redial) != nil {
 			return
@@ -137,23 +137,23 @@
 func (e *Exchange) Redial(box string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.peers[box]
+	l := e.links[box]
 	if l == nil {
 		return
 	}
-	wakeUp(l.redial)
+	signal(l.redial)
 }
 
 // Renew has all sessions that this box opened closed and opened anew: it was suspended, and
 // the others have given them up.
-func (e *Exchange) Renew() {
+func (e *Exchange) ReopenSessions() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, l := range e.peers {
+	for _, l := range e.links {
 		if session := l.session.Load(); session != nil {
 			session.Close()
 		}
-		wakeUp(l.redial)
+		signal(l.redial)
 	}
 }
 
@@ -161,24 +161,24 @@
 // answer takes a millisecond. A box that is short of processor time may take more than
 // half a second, and closing its sessions then costs it more: with 0.5 s, 56 of them
 // were closed in 25 s of a day with 85 boxes, none of them silent for good.
-const doubtTime = 1500 * time.Millisecond
+const pingTimeout = 1500 * time.Millisecond
 
 // Doubt has a session to a peer closed, and opened anew, unless it gives a sign of
 // life: its connection may have gone silent while new ones work.
-func (e *Exchange) Doubt(box string) {
+func (e *Exchange) CheckSession(box string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.peers[box]
+	l := e.links[box]
 	if l == nil || e.ctx.Err() != nil {
 		return
 	}
 	session := l.session.Load()
-	if session == nil || !l.doubted.CompareAndSwap(false, true) {
+	if session == nil || !l.checking.CompareAndSwap(false, true) {
 		return
 	}
 	e.group.Go(func() error {
-		defer l.doubted.Store(false)
-		silent := time.AfterFunc(doubtTime, func() { session.Close() })
+		defer l.checking.Store(false)
+		silent := time.AfterFunc(pingTimeout, func() { session.Close() })
 		defer silent.Stop()
 		if _, err := session.Ping(); err != nil {
 			e.Log.Warn("session to peer gave no sign of life", zap.String("Peer", box), zap.Error(err))
@@ -188,14 +188,14 @@
 }
 
 // Reaches tells whether there is a session to a peer.
-func (e *Exchange) Reaches(box string) bool { return e.session(box) != nil }
+func (e *Exchange) IsConnected(box string) bool { return e.session(box) != nil }
 
 // Reached are the peers to which there is a session.
-func (e *Exchange) Reached() map[string]bool {
+func (e *Exchange) Connected() map[string]bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reached := make(map[string]bool, len(e.peers))
-	for name, l := range e.peers {
+	reached := make(map[string]bool, len(e.links))
+	for name, l := range e.links {
 		if l.session.Load() != nil {
 			reached[name] = true
 		}
@@ -204,13 +204,13 @@
 }
 
 // tell opens a session and sends updates on it until it breaks.
-func (e *Exchange) tell(ctx context.Context, l *link) (err error) {
+func (e *Exchange) runSession(ctx context.Context, l *link) (err error) {
 	raw, err := e.dial(ctx, l.address)
 	if err != nil {
-		e.noteFailed(l)
+		e.signalDialFailed(l)
 		return err
 	}
-	session, err := yamux.Client(&countedConn{Conn: raw, traffic: &e.Traffic}, e.sessionConfig())
+	session, err := yamux.Client(&countingConn{Conn: raw, traffic: &e.Traffic}, e.sessionConfig())
 	if err != nil {
 		raw.Close()
 		return err
@@ -222,7 +222,7 @@
 	defer stop()
 	e.Log.Info("session to peer opened", zap.String("Peer", l.name))
 	for {
-		if err := e.awaitTold(ctx, l, session); err != nil {
+		if err := e.awaitSendsUpdates(ctx, l, session); err != nil {
 			return err
 		}
 		stream, err := session.Open()
@@ -243,43 +243,43 @@
 	defer e.mu.Unlock()
 	l.session.Store(session)
 	if session != nil {
-		close(l.stands)
+		close(l.opened)
 		return
 	}
-	l.stands = make(chan struct{})
+	l.opened = make(chan struct{})
 }
 
 // noteFailed has those that wait for a session know that none could be opened.
-func (e *Exchange) noteFailed(l *link) {
+func (e *Exchange) signalDialFailed(l *link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	close(l.failed)
-	l.failed = make(chan struct{})
+	close(l.dialFailed)
+	l.dialFailed = make(chan struct{})
 }
 
 // neededFor is how long a session that was asked for is kept, at least: by then the boxes to
 // which sessions are kept were chosen anew, with this one among them.
-const neededFor = time.Second
+const minConnectTTL = time.Second
 
 // Reach has a session opened to a box, if there is none, and waits until it stands or the
 // context ends.
-func (e *Exchange) Reach(ctx context.Context, box, address string) (err error) {
+func (e *Exchange) Connect(ctx context.Context, box, address string) (err error) {
 	defer func() { err = trace.Wrap(err, "opening a session to %s", box) }()
 	e.mu.Lock()
 	if e.group == nil || e.ctx.Err() != nil {
 		e.mu.Unlock()
 		return trace.ConnectionProblem(nil, "this box is stopping")
 	}
-	l := e.peers[box]
+	l := e.links[box]
 	if l == nil || l.address != address {
 		if l != nil {
 			l.cancel()
 		}
 		l = e.addLink(box, address)
 	}
-	l.neededUntil = time.Now().Add(neededFor)
-	stands, failed := l.stands, l.failed
-	wakeUp(l.redial)
+	l.keepUntil = time.Now().Add(minConnectTTL)
+	stands, failed := l.opened, l.dialFailed
+	signal(l.redial)
 	e.mu.Unlock()
 	select {
 	case <-stands:
@@ -292,14 +292,14 @@
 }
 
 // awaitTold waits until the peer is to be told.
-func (e *Exchange) awaitTold(ctx context.Context, l *link, session *yamux.Session) error {
-	for !l.told.Load() {
+func (e *Exchange) awaitSendsUpdates(ctx context.Context, l *link, session *yamux.Session) error {
+	for !l.sendsUpdates.Load() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-session.CloseChan():
 			return yamux.ErrSessionShutdown
-		case <-l.wake:
+		case <-l.sendNow:
 		}
 	}
 	return nil
@@ -307,11 +307,11 @@
 
 // Wake has what changed told to all peers at once. It is for news that can not
 // wait, such as a new revision of the settings.
-func (e *Exchange) Wake() {
+func (e *Exchange) SendNow() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, l := range e.peers {
-		wakeUp(l.wake)
+	for _, l := range e.links {
+		signal(l.sendNow)
 	}
 }
 
@@ -320,14 +320,14 @@
 // start or a loss of many boxes, each box has several rows to pass on within a few
 // milliseconds. News crosses a fleet of 300 boxes in four or five hops, so this delays
 // it by a quarter of a second.
-const rowsDelay = 50 * time.Millisecond
+const defaultRowsDelay = 50 * time.Millisecond
 
 // WakeSoon has what changed told to all peers within rowsDelay.
-func (e *Exchange) WakeSoon() {
+func (e *Exchange) SendSoon() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, l := range e.peers {
-		wakeUp(l.soon)
+	for _, l := range e.links {
+		signal(l.sendSoon)
 	}
 }
 
@@ -351,17 +351,17 @@
 	}
 	lastSent := time.Time{}
 	mark, endMark, departureMark := uint64(0), uint64(0), uint64(0)
-	for l.told.Load() {
-		state := e.Teller.State()
+	for l.sendsUpdates.Load() {
+		state := e.States.State()
 		state.Chosen = l.chosen.Load()
-		if e.RowTeller != nil {
-			state.Rows, mark = e.RowTeller.Rows(mark, l.name)
+		if e.Rows != nil {
+			state.Rows, mark = e.Rows.Rows(mark, l.name)
 		}
-		if e.EndTeller != nil {
-			state.Ends, endMark = e.EndTeller.Since(endMark, l.name, time.Now())
+		if e.Ends != nil {
+			state.Ends, endMark = e.Ends.Since(endMark, l.name, time.Now())
 		}
-		if e.DepartureTeller != nil {
-			state.Departures, departureMark = e.DepartureTeller.Departures(departureMark, l.name, time.Now())
+		if e.Departures != nil {
+			state.Departures, departureMark = e.Departures.Departures(departureMark, l.name, time.Now())
 		}
 		update, changed := encoder.encode(state)
 		if changed || time.Since(lastSent) >= timing.Heartbeat.Duration {
@@ -370,7 +370,7 @@
 			}
 			lastSent = time.Now()
 		}
-		if err := e.awaitNews(ctx, l); err != nil {
+		if err := e.awaitNextUpdate(ctx, l); err != nil {
 			return err
 		}
 	}
@@ -379,22 +379,22 @@
 
 func (e *Exchange) rowsDelay() time.Duration {
 	if e.RowsDelay == nil {
-		return rowsDelay
+		return defaultRowsDelay
 	}
 	return e.RowsDelay()
 }
 
 // awaitNews waits for the time of the next update.
-func (e *Exchange) awaitNews(ctx context.Context, l *link) error {
+func (e *Exchange) awaitNextUpdate(ctx context.Context, l *link) error {
 	timer := time.NewTimer(interval.Jittered(e.Box.Exchange.Interval.Duration))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
-	case <-l.wake:
+	case <-l.sendNow:
 		return nil
-	case <-l.soon:
-		return interval.WaitOr(ctx, e.rowsDelay(), l.wake)
+	case <-l.sendSoon:
+		return interval.WaitOr(ctx, e.rowsDelay(), l.sendNow)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/pkg/peer/orders.go
+++ b/pkg/peer/orders.go
@@ -10,18 +10,18 @@
 )
 
 // ordersMessage encodes the operator's orders.
-func ordersMessage(orders *route.Orders, now time.Time) *peerpb.Orders {
+func encodeOrders(orders *route.Orders, now time.Time) *peerpb.Orders {
 	return &peerpb.Orders{
 		Version:       uint64(orders.Version),
 		Evacuated:     orders.Evacuated,
-		Rollouts:      rolloutOrders(orders.Rollouts, now),
+		Rollouts:      encodeRolloutOrders(orders.Rollouts, now),
 		KeptEvacuated: orders.Kept.Evacuated,
-		KeptRollouts:  rolloutOrders(orders.Kept.Rollouts, now),
+		KeptRollouts:  encodeRolloutOrders(orders.Kept.Rollouts, now),
 		KeptFor:       max(0, orders.KeptUntil.Sub(now)).Microseconds(),
 	}
 }
 
-func rolloutOrders(orders []rollout.Order, now time.Time) (messages []*peerpb.Rollout) {
+func encodeRolloutOrders(orders []rollout.Order, now time.Time) (messages []*peerpb.Rollout) {
 	for _, order := range orders {
 		messages = append(messages, &peerpb.Rollout{
 			Service: order.Service,
@@ -35,14 +35,14 @@
 }
 
 // OrdersOf decodes them as of a time.
-func OrdersOf(message *peerpb.Orders, now time.Time) route.Orders {
+func DecodeOrders(message *peerpb.Orders, now time.Time) route.Orders {
 	orders := route.Orders{
 		Version:   epoch.Version(message.Version),
 		Evacuated: message.Evacuated,
-		Rollouts:  rolloutOrdersOf(message.Rollouts, now),
+		Rollouts:  decodeRolloutOrders(message.Rollouts, now),
 		Kept: route.KeptOrders{
 			Evacuated: message.KeptEvacuated,
-			Rollouts:  rolloutOrdersOf(message.KeptRollouts, now),
+			Rollouts:  decodeRolloutOrders(message.KeptRollouts, now),
 		},
 	}
 	if !orders.Kept.IsEmpty() {
@@ -51,7 +51,7 @@
 	return orders
 }
 
-func rolloutOrdersOf(messages []*peerpb.Rollout, now time.Time) (orders []rollout.Order) {
+func decodeRolloutOrders(messages []*peerpb.Rollout, now time.Time) (orders []rollout.Order) {
 	for _, order := range messages {
 		orders = append(orders, rollout.Order{
 			Service: order.Service,
@@ -65,7 +65,7 @@
 }
 
 // RolloutTally encodes what a box saw of a roll-out.
-func RolloutTally(order epoch.Version, routes map[string]rollout.Tally, oldRunning int) *peerpb.RolloutTally {
+func EncodeRolloutTally(order epoch.Version, routes map[string]rollout.Tally, oldRunning int) *peerpb.RolloutTally {
 	message := &peerpb.RolloutTally{Order: uint64(order), OldRunning: uint32(oldRunning)}
 	for name, tally := range routes {
 		message.Routes = append(message.Routes, &peerpb.RouteTally{
@@ -80,7 +80,7 @@
 }
 
 // CountsOf is the reverse of RolloutTally.
-func CountsOf(message *peerpb.RolloutTally) rollout.Counts {
+func DecodeRolloutTally(message *peerpb.RolloutTally) rollout.Counts {
 	counts := rollout.Counts{Routes: map[string]rollout.Tally{}, OldRunning: int(message.OldRunning)}
 	for _, r := range message.Routes {
 		counts.Routes[r.Route] = rollout.Tally{
@@ -93,14 +93,14 @@
 	return counts
 }
 
-func rolloutMessages(words []rollout.Word) (messages []*peerpb.RolloutWord) {
+func encodeRolloutVerdicts(words []rollout.Word) (messages []*peerpb.RolloutWord) {
 	for _, word := range words {
 		messages = append(messages, &peerpb.RolloutWord{Service: word.Service, Order: uint64(word.Order), Verdict: uint32(word.Verdict)})
 	}
 	return messages
 }
 
-func rolloutsOf(messages []*peerpb.RolloutWord) (words []rollout.Word) {
+func decodeRolloutVerdicts(messages []*peerpb.RolloutWord) (words []rollout.Word) {
 	for _, message := range messages {
 		words = append(words, rollout.Word{
 			Service: message.Service,
--- a/pkg/peer/listening.go
+++ b/pkg/peer/server.go
@@ -43,7 +43,7 @@
 	if e.TLS != nil {
 		raw = tls.Server(raw, e.TLS)
 	}
-	session, err := yamux.Server(&countedConn{Conn: raw, traffic: &e.Traffic}, e.sessionConfig())
+	session, err := yamux.Server(&countingConn{Conn: raw, traffic: &e.Traffic}, e.sessionConfig())
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 // serveStream does what a stream was opened for.
 func (e *Exchange) serveStream(stream net.Conn, session *yamux.Session) error {
 	reader := bufio.NewReader(stream)
-	if err := e.expect(stream); err != nil {
+	if err := e.setReadDeadline(stream); err != nil {
 		return err
 	}
 	opening := &peerpb.Opening{}
@@ -76,7 +76,7 @@
 	}
 	switch purpose := opening.Purpose.(type) {
 	case *peerpb.Opening_Hello:
-		err := e.listen(stream, reader, purpose.Hello)
+		err := e.receiveUpdates(stream, reader, purpose.Hello)
 		if !errors.Is(err, io.EOF) {
 			session.Close()
 		}
@@ -104,14 +104,14 @@
 		reply.Orders = e.orders()
 	default:
 		// The orders are read after the settings, so that they are not older.
-		reply.Revision, reply.Content = e.Teller.Snapshot()
+		reply.Revision, reply.Content = e.States.Snapshot()
 		reply.Orders = e.orders()
-		if e.EndTeller != nil {
-			reply.Ends = EndMessages(e.EndTeller.Gravest(time.Now()))
+		if e.Ends != nil {
+			reply.Ends = EncodeEnds(e.Ends.Gravest(time.Now()))
 		}
-		if e.DepartureTeller != nil {
-			told, _ := e.DepartureTeller.Departures(0, "", time.Now())
-			reply.Departures = DepartureMessages(told)
+		if e.Departures != nil {
+			told, _ := e.Departures.Departures(0, "", time.Now())
+			reply.Departures = EncodeDepartures(told)
 		}
 	}
 	if err != nil {
@@ -129,33 +129,33 @@
 	if orders == nil {
 		return nil
 	}
-	return ordersMessage(orders, time.Now())
+	return encodeOrders(orders, time.Now())
 }
 
-func senderOf(hello *peerpb.Hello) Sender {
+func decodeSender(hello *peerpb.Hello) Sender {
 	return Sender{
 		Box:             hello.Box,
 		Zone:            hello.Zone,
 		Incarnation:     hello.Incarnation,
 		OperatorAddress: hello.OperatorAddress,
 		PeerAddress:     hello.PeerAddress,
-		Cores:           float64(hello.Cores) / coreGrain,
+		Cores:           float64(hello.Cores) / coreUnits,
 	}
 }
 
 // listen passes on a peer's updates until it ends them or is silent for too long.
 // The session is then closed, so that the peer starts again with everything; one on
 // which the peer has ended its updates may still be used for asking.
-func (e *Exchange) listen(stream net.Conn, reader *bufio.Reader, hello *peerpb.Hello) error {
-	from := senderOf(hello)
+func (e *Exchange) receiveUpdates(stream net.Conn, reader *bufio.Reader, hello *peerpb.Hello) error {
+	from := decodeSender(hello)
 	if from.Incarnation == e.Incarnation {
 		return nil
 	}
-	e.countHeard(from, 1)
-	defer e.countHeard(from, -1)
+	e.countStreams(from, 1)
+	defer e.countStreams(from, -1)
 	decoder := decoder{}
 	for first := true; ; first = false {
-		if err := e.expect(stream); err != nil {
+		if err := e.setReadDeadline(stream); err != nil {
 			return err
 		}
 		update := &peerpb.Update{}
@@ -166,24 +166,24 @@
 		if err != nil {
 			return err
 		}
-		e.Listener.Heard(from, state, first)
+		e.Handler.HandleUpdate(from, state, first)
 	}
 }
 
 // countHeard counts the open streams of a sender, and reports its silence when
 // the last one ends. The lock is held meanwhile, so that the first word of a stream
 // opened just then is heard after the silence, and not undone by it.
-func (e *Exchange) countHeard(from Sender, change int) {
+func (e *Exchange) countStreams(from Sender, change int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.heard[from.Incarnation] += change
-	if e.heard[from.Incarnation] == 0 {
-		delete(e.heard, from.Incarnation)
-		e.Listener.Silent(from)
+	e.streams[from.Incarnation] += change
+	if e.streams[from.Incarnation] == 0 {
+		delete(e.streams, from.Incarnation)
+		e.Handler.HandlePeerLost(from)
 	}
 }
 
 // expect bounds the wait for the peer's next message.
-func (e *Exchange) expect(stream net.Conn) error {
+func (e *Exchange) setReadDeadline(stream net.Conn) error {
 	return stream.SetReadDeadline(time.Now().Add(e.Box.Exchange.Lapse.Duration))
 }
--- a/pkg/peer/silence_test.go
+++ b/pkg/peer/session_check_test.go
@@ -17,17 +17,17 @@
 
 // swallower passes connections on to an address. Those that are open when it is told
 // to swallow pass nothing any more and are not closed; new ones work.
-type swallower struct {
+type blackholeProxy struct {
 	listener net.Listener
 	target   string
 	group    errgroup.Group
 
-	mu        sync.Mutex
-	conns     []net.Conn
-	swallowed map[net.Conn]bool
+	mu      sync.Mutex
+	conns   []net.Conn
+	dropped map[net.Conn]bool
 }
 
-func (s *swallower) run() error {
+func (s *blackholeProxy) run() error {
 	for {
 		from, err := s.listener.Accept()
 		if err != nil {
@@ -46,12 +46,12 @@
 	}
 }
 
-func (s *swallower) pass(from, to net.Conn) error {
+func (s *blackholeProxy) pass(from, to net.Conn) error {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
 		s.mu.Lock()
-		silent := s.swallowed[from]
+		silent := s.dropped[from]
 		s.mu.Unlock()
 		if err != nil && !silent {
 			to.Close()
@@ -67,15 +67,15 @@
 	}
 }
 
-func (s *swallower) swallow() {
+func (s *blackholeProxy) dropAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.conns {
-		s.swallowed[conn] = true
+		s.dropped[conn] = true
 	}
 }
 
-func (s *swallower) close() {
+func (s *blackholeProxy) close() {
 	s.listener.Close()
 	s.mu.Lock()
 	for _, conn := range s.conns {
@@ -86,12 +86,12 @@
 }
 
 // lonelyBox tells nothing and hears nothing.
-type lonelyBox struct{}
+type idleBox struct{}
 
-func (lonelyBox) State() State               { return State{} }
-func (lonelyBox) Snapshot() (uint64, []byte) { return 0, nil }
-func (lonelyBox) Heard(Sender, State, bool)  {}
-func (lonelyBox) Silent(Sender)              {}
+func (idleBox) State() State                     { return State{} }
+func (idleBox) Snapshot() (uint64, []byte)       { return 0, nil }
+func (idleBox) HandleUpdate(Sender, State, bool) {}
+func (idleBox) HandlePeerLost(Sender)            {}
 
 // answeringServer reads each stream until it ends.
 type answeringServer struct{}
@@ -107,7 +107,7 @@
 		So(err, ShouldBeNil)
 		between, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		proxy := &swallower{listener: between, target: there.Addr().String(), swallowed: map[net.Conn]bool{}}
+		proxy := &blackholeProxy{listener: between, target: there.Addr().String(), dropped: map[net.Conn]bool{}}
 		proxy.group.Go(proxy.run)
 		defer proxy.close()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -117,7 +117,7 @@
 		exchange := func(name string, incarnation uint64) *Exchange {
 			own := settings.DefaultBox()
 			own.Name = name
-			return &Exchange{Box: own, Incarnation: incarnation, Teller: lonelyBox{}, Listener: lonelyBox{}, Dispatch: answeringServer{}, Log: zap.NewNop()}
+			return &Exchange{Box: own, Incarnation: incarnation, States: idleBox{}, Handler: idleBox{}, Dispatch: answeringServer{}, Log: zap.NewNop()}
 		}
 		far, near := exchange("far", 1), exchange("near", 2)
 		near.Box.Peers = map[string]settings.Peer{"far": {Address: between.Addr().String()}}
@@ -134,13 +134,13 @@
 			}
 			return false
 		}
-		So(eventually(func() bool { return near.Reaches("far") }), ShouldBeTrue)
+		So(eventually(func() bool { return near.IsConnected("far") }), ShouldBeTrue)
 		first := near.session("far")
-		near.Doubt("far")
-		<-time.After(2 * doubtTime)
+		near.CheckSession("far")
+		<-time.After(2 * pingTimeout)
 		So(near.session("far"), ShouldEqual, first)
-		proxy.swallow()
-		near.Doubt("far")
+		proxy.dropAll()
+		near.CheckSession("far")
 		So(eventually(func() bool {
 			now := near.session("far")
 			return now != nil && now != first
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -46,7 +46,7 @@
 	// Address is where the box is reached by others.
 	Address string
 	// Told contacts get this box's news; to others the session is kept for asking.
-	Told bool
+	SendsUpdates bool
 	// Chosen tells a told contact that it is not told for its own sake only.
 	Chosen bool
 }
--- a/pkg/peer/traffic.go
+++ b/pkg/peer/traffic.go
@@ -16,20 +16,20 @@
 }
 
 // countedConn counts the bytes of a session, with the library's framing.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
 // Read reads and counts.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.Received.Add(int64(n))
 	return n, err
 }
 
 // Write writes and counts.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.traffic.Sent.Add(int64(n))
 	return n, err
--- a/pkg/pool/conversions.go
+++ b/pkg/pool/conversions.go
@@ -45,7 +45,7 @@
 			MeanWaiting: float64(said.Waiting) / waitingScale,
 		}
 		if first {
-			s.Ledger.Adopt(incarnation, customer, service, float64(said.Lead))
+			s.Ledger.Resync(incarnation, customer, service, float64(said.Lead))
 			continue
 		}
 		s.Ledger.Merge(incarnation, customer, service)
--- a/pkg/pool/fairness_test.go
+++ b/pkg/pool/fairness_test.go
@@ -101,7 +101,7 @@
 // restart makes a router start again, empty. The others' sessions to it end.
 func (f *fakeFleet) restart(router int) {
 	for _, other := range f.schedules {
-		other.Ledger.Forget(f.incarnations[router])
+		other.Ledger.RemovePeer(f.incarnations[router])
 	}
 	s := &pool.Schedule{Rand: rand.New(rand.NewPCG(uint64(router), uint64(f.tickets)))}
 	s.Configure(f.rules, f.customers)
@@ -327,7 +327,7 @@
 			before[name] = service
 		}
 		var g gap
-		bound := f.fleetBound() + f.schedules[0].Ledger.Bound
+		bound := f.fleetBound() + f.schedules[0].Ledger.MaxLead
 		for number := range watchedSteps {
 			f.step(number)
 			if widest := g.watch(f); widest > bound {
--- a/pkg/pool/order.go
+++ b/pkg/pool/order.go
@@ -66,7 +66,7 @@
 	if s.rules.Order == settings.ArrivalOrder {
 		return false
 	}
-	return s.Ledger.Lead(line.customer) <= s.Ledger.Bound/quickPart
+	return s.Ledger.Lead(line.customer) <= s.Ledger.MaxLead/quickPart
 }
 
 // takeAny grants a customer's request: quick ones first, or strictly by arrival
@@ -96,10 +96,10 @@
 	if s.rules.Order == settings.ArrivalOrder {
 		return 0
 	}
-	lead := s.Ledger.LeadOfNext(t.Customer)
-	worst := min(s.Ledger.Bound/priorityPart, slowPriority-1)
+	lead := s.Ledger.NextLead(t.Customer)
+	worst := min(s.Ledger.MaxLead/priorityPart, slowPriority-1)
 	priority := int(min(max(lead, 0), worst))
-	if !t.Quick || lead > s.Ledger.Bound/quickPart {
+	if !t.Quick || lead > s.Ledger.MaxLead/quickPart {
 		priority += slowPriority
 	}
 	return priority
--- a/pkg/pool/schedule.go
+++ b/pkg/pool/schedule.go
@@ -53,7 +53,7 @@
 func (s *Schedule) Configure(rules settings.Pool, customers map[string]settings.Customer) {
 	s.rules = rules
 	s.customers = customers
-	s.Ledger.Bound = boundOf(&rules)
+	s.Ledger.MaxLead = boundOf(&rules)
 	for name, customer := range customers {
 		s.Ledger.SetShare(name, customer.Share)
 	}
--- a/pkg/registry/endpoints.go
+++ b/pkg/registry/endpoints.go
@@ -137,7 +137,7 @@
 	// What changed up to the position is known: an account that is not has been replaced.
 	replaced := from != fromStore && !entry.Gone && entry.Version <= r.knowledge.Known
 	if replaced || (had && entry.Version <= known.Version) {
-		if entry.Leaving && entry.Version.Precedes(known.Version) {
+		if entry.Leaving && entry.Version.HasEarlierEpochThan(known.Version) {
 			return r.depart(lifecycle.Departure{Endpoint: entry.ID, Born: entry.Born}, from, now)
 		}
 		if entry.Gone != known.Gone || entry.Leaving != known.Leaving || entry.Born != known.Born {
@@ -307,7 +307,7 @@
 			return changed
 		}
 		looked = then.Looks > r.knowledge.Looks
-		if known := r.knowledge.Known; known.Precedes(then.Known) && known != 0 {
+		if known := r.knowledge.Known; known.HasEarlierEpochThan(then.Known) && known != 0 {
 			r.logRestored(known, then.Known, from)
 		}
 		r.knowledge.Join(then)
--- a/pkg/registry/restored.go
+++ b/pkg/registry/restored.go
@@ -24,7 +24,7 @@
 		before = r.knowledge.Known
 	}
 	r.read = max(r.read, version)
-	if before == 0 || !before.Precedes(version) {
+	if before == 0 || !before.HasEarlierEpochThan(version) {
 		return
 	}
 	r.logRestored(before, version, fromStore)
@@ -55,7 +55,7 @@
 	if known.Leaving && !entry.Leaving {
 		r.depart(lifecycle.Departure{Endpoint: known.ID, Born: known.Born}, "", now)
 	}
-	writtenSince := !known.Version.Precedes(entry.Version) || entry.Version.Counter() > known.Version.Counter()
+	writtenSince := !known.Version.HasEarlierEpochThan(entry.Version) || entry.Version.Counter() > known.Version.Counter()
 	if known.Gone && !entry.Gone && !writtenSince {
 		entry.Gone, entry.Held = true, true
 	}
@@ -93,7 +93,7 @@
 		entry, _ := r.entries.find(id)
 		entry.Held = false
 		// Restored once more, the store may not list it any longer.
-		entry.Gone = entry.Version.Precedes(r.knowledge.Known)
+		entry.Gone = entry.Version.HasEarlierEpochThan(r.knowledge.Known)
 		if entry.Gone {
 			r.put(entry)
 			continue
@@ -110,7 +110,7 @@
 // history that is gone.
 func (r *Registry) renewDeclared(ctx context.Context) {
 	r.mu.Lock()
-	behind := r.declared != 0 && r.declared.Precedes(r.read)
+	behind := r.declared != 0 && r.declared.HasEarlierEpochThan(r.read)
 	r.mu.Unlock()
 	if !behind {
 		return
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -29,7 +29,7 @@
 
 // Renews tells whether this is the other order, written again after the store was restored.
 func (o Order) Renews(other Order) bool {
-	return o.IsSame(other) && other.Version.Precedes(o.Version)
+	return o.IsSame(other) && other.Version.HasEarlierEpochThan(o.Version)
 }
 
 // Verdict is what was decided of an order. They are in the order in which a later one
--- a/pkg/route/orders.go
+++ b/pkg/route/orders.go
@@ -38,7 +38,7 @@
 // its service is older than the one known.
 func (o *Orders) Keep(before *Orders, now time.Time, hold time.Duration) {
 	kept, until := before.Kept, before.KeptUntil
-	if before.Version.Precedes(o.Version) {
+	if before.Version.HasEarlierEpochThan(o.Version) {
 		kept, until = KeptOrders{Evacuated: before.zones(), Rollouts: before.Moves()}, now.Add(hold)
 	}
 	if !now.Before(until) {
@@ -64,7 +64,7 @@
 func (o *Orders) replaces(known rollout.Order) bool {
 	later := func(order rollout.Order) bool {
 		return order.Service == known.Service &&
-			(order.IsSame(known) || !known.Version.Precedes(order.Version) || order.Version.Counter() > known.Version.Counter())
+			(order.IsSame(known) || !known.Version.HasEarlierEpochThan(order.Version) || order.Version.Counter() > known.Version.Counter())
 	}
 	return slices.ContainsFunc(o.Rollouts, later) || slices.ContainsFunc(o.Kept.Rollouts, later)
 }
--- a/pkg/router/follow.go
+++ b/pkg/router/follow.go
@@ -133,7 +133,7 @@
 }
 
 // Heard applies a peer's account.
-func (r *Router) Heard(from peer.Sender, news peer.State, first bool) {
+func (r *Router) HandleUpdate(from peer.Sender, news peer.State, first bool) {
 	r.members.Heard(from, news, first, time.Now())
 	for name, state := range news.Pools {
 		p := r.pool(name)
@@ -151,7 +151,7 @@
 // a store outage does not stop its spread.
 func (r *Router) fetchSettings(from string, revision uint64) {
 	log := r.logs.For(logflags.Settings)
-	found, content, err := r.exchange.Fetch(from, revision)
+	found, content, err := r.exchange.FetchSettings(from, revision)
 	if err == nil {
 		err = r.apply(found, content)
 	}
@@ -161,10 +161,10 @@
 }
 
 // Silent drops what a peer said is waiting or charged there.
-func (r *Router) Silent(from peer.Sender) {
+func (r *Router) HandlePeerLost(from peer.Sender) {
 	r.members.Silent(from)
 	for _, p := range r.poolsNow() {
-		p.Do(func(s *pool.Schedule, now time.Time) { s.Ledger.Forget(from.Incarnation) })
+		p.Do(func(s *pool.Schedule, now time.Time) { s.Ledger.RemovePeer(from.Incarnation) })
 	}
 }
 
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -122,8 +122,8 @@
 	r.exchange = &peer.Exchange{
 		Box:         r.Box,
 		Incarnation: r.incarnation,
-		Teller:      r,
-		Listener:    r,
+		States:      r,
+		Handler:     r,
 		Log:         r.logs.For(logflags.Peer),
 	}
 	if err := r.preparePeerTLS(); err != nil {
@@ -209,7 +209,7 @@
 // taken for a little longer, until the balancer has noticed.
 func (r *Router) drain(callers *fasthttp.Server) error {
 	r.stopping.Store(true)
-	r.exchange.Wake()
+	r.exchange.SendNow()
 	r.log.Info("planned stop began", zap.Int64("InFlight", r.inFlight.Load()))
 	time.Sleep(r.Box.Limits.DrainWait.Duration)
 	ctx, cancel := context.WithTimeout(context.Background(), r.Box.Limits.DrainTimeout.Duration)
@@ -280,7 +280,7 @@
 		r.configure(name, rules, fleet.Customers)
 	}
 	r.current.Store(newView(revision, snapshot, fleet))
-	r.exchange.Wake()
+	r.exchange.SendNow()
 	r.logs.For(logflags.Settings).Info("settings in force", zap.Uint64("Revision", revision))
 	return nil
 }
--- a/pkg/share/ledger.go
+++ b/pkg/share/ledger.go
@@ -15,7 +15,7 @@
 	// that is served. It keeps a customer that was served elsewhere for hours
 	// from being starved here. It is above the gap that slots and late news
 	// bring about by themselves.
-	Bound float64
+	MaxLead float64
 
 	counters map[string]*Counter
 	// floor is where a customer that returns from idle begins: the highest value
@@ -31,7 +31,7 @@
 	Share float64
 	// Virtual is the settled service known of, divided by Share, and lifted on
 	// return from idle. It never falls.
-	Virtual float64
+	VirtualTime float64
 	// Pending is what local requests that have begun were charged in advance and
 	// is not yet part of Virtual; never negative.
 	Pending float64
@@ -81,7 +81,7 @@
 	if l.counters == nil {
 		l.counters = map[string]*Counter{}
 	}
-	counter := &Counter{Share: 1, Virtual: l.floor, peers: map[uint64]*peerCounter{}}
+	counter := &Counter{Share: 1, VirtualTime: l.floor, peers: map[uint64]*peerCounter{}}
 	l.counters[customer] = counter
 	return counter
 }
@@ -95,8 +95,8 @@
 // begins level with the others.
 func (l *Ledger) Arrive(customer string) {
 	counter := l.Counter(customer)
-	if !counter.backlogged() {
-		l.lift(counter)
+	if !counter.isBacklogged() {
+		l.raiseToFloor(counter)
 	}
 	counter.Waiting++
 }
@@ -126,7 +126,7 @@
 		l.floor = math.Max(l.floor, key)
 	}
 	for _, other := range l.counters {
-		other.Virtual = math.Max(other.Virtual, key-l.Bound)
+		other.VirtualTime = math.Max(other.VirtualTime, key-l.MaxLead)
 	}
 	counter.Reserved = math.Max(0, counter.Reserved-estimate)
 	counter.Pending += estimate
@@ -142,7 +142,7 @@
 	counter.credit = math.Max(0, -service)
 	service = math.Max(0, service)
 	counter.Served += service
-	counter.Virtual += service / counter.Share
+	counter.VirtualTime += service / counter.Share
 }
 
 // Release takes back what was charged in advance and was never used.
@@ -165,7 +165,7 @@
 
 // LeadOfNext is the lead of the request that this router sends next: what it has
 // sent before goes before it.
-func (l *Ledger) LeadOfNext(customer string) float64 {
+func (l *Ledger) NextLead(customer string) float64 {
 	return l.Key(customer) - l.lowest()
 }
 
@@ -174,14 +174,14 @@
 func (l *Ledger) Merge(incarnation uint64, customer string, news PeerService) {
 	counter := l.Counter(customer)
 	known := counter.peer(incarnation)
-	wasBacklogged := counter.backlogged()
+	wasBacklogged := counter.isBacklogged()
 	known.waiting, known.pending = news.MeanWaiting, news.Pending
-	if !wasBacklogged && counter.backlogged() {
-		l.lift(counter)
+	if !wasBacklogged && counter.isBacklogged() {
+		l.raiseToFloor(counter)
 	}
 	if increment := news.Served - known.served; increment > 0 {
 		known.served = news.Served
-		counter.Virtual += increment / counter.Share
+		counter.VirtualTime += increment / counter.Share
 	}
 }
 
@@ -190,18 +190,18 @@
 // was given meanwhile. Two ledgers that adopt from each other agree after it,
 // each customer as far ahead as it was in either; adopting twice changes
 // nothing. So views do not drift apart over many partitions.
-func (l *Ledger) Adopt(incarnation uint64, customer string, news PeerService, lead float64) {
+func (l *Ledger) Resync(incarnation uint64, customer string, news PeerService, lead float64) {
 	counter := l.Counter(customer)
 	known := counter.peer(incarnation)
 	known.served = math.Max(known.served, news.Served)
 	known.waiting, known.pending = news.MeanWaiting, news.Pending
-	lead = math.Min(math.Max(lead, 0), l.Bound)
-	counter.Virtual = math.Max(counter.Virtual, l.lowest()+lead)
+	lead = math.Min(math.Max(lead, 0), l.MaxLead)
+	counter.VirtualTime = math.Max(counter.VirtualTime, l.lowest()+lead)
 }
 
 // Forget drops what an incarnation said that is no longer heard. What it served
 // stays counted in Virtual; if it comes back, its first word is adopted.
-func (l *Ledger) Forget(incarnation uint64) {
+func (l *Ledger) RemovePeer(incarnation uint64) {
 	for _, counter := range l.counters {
 		delete(counter.peers, incarnation)
 	}
@@ -215,9 +215,9 @@
 }
 
 // lift puts a customer that returns from idle level with the lowest active one.
-func (l *Ledger) lift(counter *Counter) {
+func (l *Ledger) raiseToFloor(counter *Counter) {
 	l.lowest()
-	counter.Virtual = math.Max(counter.Virtual, l.floor)
+	counter.VirtualTime = math.Max(counter.VirtualTime, l.floor)
 }
 
 // lowest returns the lowest counter of a backlogged customer and raises the
@@ -234,7 +234,7 @@
 func (l *Ledger) lowestBacklogged() (lowest float64, any bool) {
 	lowest = math.Inf(1)
 	for _, counter := range l.counters {
-		if counter.backlogged() {
+		if counter.isBacklogged() {
 			lowest = math.Min(lowest, counter.key())
 			any = true
 		}
@@ -245,11 +245,11 @@
 // backlogMean is the mean number of requests waiting in the whole fleet from
 // which a customer counts as backlogged. Below it there are moments at which
 // nothing of the customer waits.
-const backlogMean = 1.5
+const minBacklogMean = 1.5
 
 // backlogged tells whether the customer is backlogged: something waits here at
 // this moment, or enough in the whole fleet on average.
-func (c *Counter) backlogged() bool {
+func (c *Counter) isBacklogged() bool {
 	if c.Waiting > 0 {
 		return true
 	}
@@ -257,7 +257,7 @@
 	for _, peer := range c.peers {
 		mean += peer.waiting
 	}
-	return mean >= backlogMean
+	return mean >= minBacklogMean
 }
 
 // key is settled service plus what is charged in advance anywhere.
@@ -266,7 +266,7 @@
 	for _, peer := range c.peers {
 		pending += peer.pending
 	}
-	return c.Virtual + pending/c.Share
+	return c.VirtualTime + pending/c.Share
 }
 
 // peer returns what an incarnation last said, opened empty if it is new.
