--- a/pkg/gateway/deadly.go
+++ b/pkg/gateway/deadly.go
@@ -61,7 +61,7 @@
 // endsChanged has other boxes told, and the store, what this one saw.
 func (g *Gateway) endsChanged() {
 	g.exchange.SendNow()
-	g.registry.KeepQuarantine()
+	g.registry.PersistQuarantine()
 }
 
 // outcomeOf tells what an attempt that broke says of its endpoint, and counts it where the
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -83,7 +83,7 @@
 func (m *Metrics) Rested() { m.rests.Add(1) }
 
 // ReadingWhole counts a reading of all endpoints that begins.
-func (m *Metrics) ReadingWhole(why registry.Reason) { m.readings.Add(string(why), 1) }
+func (m *Metrics) ReadingWhole(why registry.FullReadReason) { m.readings.Add(string(why), 1) }
 
 // HandedBack counts a choice of an endpoint to which nothing was sent.
 func (m *Metrics) HandedBack() { m.handedBack.Add(1) }
--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -98,7 +98,7 @@
 		Leaving:   g.stopping.Load(),
 		Revision:  g.catalogVersion(),
 		Knowledge: g.registry.Knowledge(),
-		Directory: g.registry.Newest(),
+		Directory: g.registry.NewestVersion(),
 		Orders:    g.registry.OrdersVersion(),
 		Rollouts:  g.rollouts.words(),
 	}
@@ -121,7 +121,7 @@
 
 // Directory gives peers what changed of the endpoints after a version.
 func (g *Gateway) Directory(since uint64) *peerpb.Directory {
-	entries, then, more := g.registry.Since(epoch.Version(since))
+	entries, then, more := g.registry.EntriesSince(epoch.Version(since))
 	directory := &peerpb.Directory{More: more}
 	if !more {
 		directory.Knowledge = peer.EncodeKnowledge(then)
@@ -135,8 +135,8 @@
 
 func endpointMessage(entry *registry.Entry, now time.Time) *peerpb.Endpoint {
 	lapsesIn := time.Duration(0)
-	if !entry.LapsesAt.IsZero() {
-		lapsesIn = max(time.Microsecond, entry.LapsesAt.Sub(now))
+	if !entry.GraceEnd.IsZero() {
+		lapsesIn = max(time.Microsecond, entry.GraceEnd.Sub(now))
 	}
 	return &peerpb.Endpoint{
 		ID:       entry.ID,
@@ -164,7 +164,7 @@
 	return registry.Entry{
 		Version:  epoch.Version(message.Version),
 		Gone:     message.Gone && lapsesAt.IsZero(),
-		LapsesAt: lapsesAt,
+		GraceEnd: lapsesAt,
 		Held:     message.Held,
 		ColdFor:  time.Duration(message.ColdFor) * time.Microsecond,
 		Endpoint: route.Endpoint{
@@ -203,7 +203,7 @@
 	if news.Orders > g.registry.OrdersVersion() && g.orders.told(from.Box, uint64(news.Orders)) {
 		g.work.Go(g.orders.run)
 	}
-	learnt, ask := g.registry.HeardKnowledge(news.Knowledge, news.Directory)
+	learnt, ask := g.registry.ReceiveKnowledge(news.Knowledge, news.Directory)
 	if ask && g.directories.told(from.Box, uint64(news.Knowledge.Known)) {
 		g.work.Go(g.directories.run)
 	}
--- a/pkg/gateway/peers_test.go
+++ b/pkg/gateway/peers_test.go
@@ -15,16 +15,16 @@
 	Convey("An entry that lapses is gone to those that do not know of lapses", t, func() {
 		now := time.Now()
 		for _, left := range []time.Duration{time.Second, -time.Second} {
-			entry := registry.Entry{Version: 3, LapsesAt: now.Add(left)}
+			entry := registry.Entry{Version: 3, GraceEnd: now.Add(left)}
 			entry.ID = "a"
 			message := endpointMessage(&entry, now)
 			So(message.Gone, ShouldBeTrue)
 			read := entryOf(message, now)
 			So(read.Gone, ShouldBeFalse)
-			So(read.LapsesAt, ShouldEqual, now.Add(max(left, time.Microsecond)))
+			So(read.GraceEnd, ShouldEqual, now.Add(max(left, time.Microsecond)))
 		}
 		gone := registry.Entry{Version: 3, Gone: true}
 		So(entryOf(endpointMessage(&gone, now), now).Gone, ShouldBeTrue)
-		So(entryOf(endpointMessage(&gone, now), now).LapsesAt.IsZero(), ShouldBeTrue)
+		So(entryOf(endpointMessage(&gone, now), now).GraceEnd.IsZero(), ShouldBeTrue)
 	})
 }
--- a/pkg/gateway/wake.go
+++ b/pkg/gateway/wake.go
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(g.over, renewPatience)
 	defer cancel()
 	for {
-		err := g.registry.Renew(ctx)
+		err := g.registry.Refresh(ctx)
 		if err == nil {
 			g.log.Info("looked again after a suspension")
 			return
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -77,7 +77,7 @@
 	if answered.Leaving {
 		// The row of one that is not listed may be back, as it was.
 		if known, listed := g.registry.Directory().Find(from.ID); !listed || !known.Leaving {
-			g.registry.HeardDeparture(from, now)
+			g.registry.RecordDeparture(from, now)
 		}
 	}
 	length, problem := restOf(answered)
--- a/pkg/registry/boxes.go
+++ b/pkg/registry/boxes.go
@@ -13,23 +13,23 @@
 )
 
 func (r *Registry) followBoxes(ctx context.Context) error {
-	again := backoff{peers: r.Peers}
+	retry := backoff{peers: r.Peers}
 	announced := false
 	listed := sync.OnceFunc(func() { close(r.boxesListed()) })
 	for ctx.Err() == nil {
-		err := r.lookAtBoxes(ctx, &announced)
-		r.noteCall(err)
+		err := r.pollBoxes(ctx, &announced)
+		r.recordCall(err)
 		if err == nil {
 			listed()
-			again.reset()
-			length := interval.Jittered(boxesInterval + boxesPart*time.Duration(r.Peers()))
+			retry.reset()
+			length := interval.Jittered(boxesInterval + boxesIntervalPerBox*time.Duration(r.Peers()))
 			if interval.Wait(ctx, length) != nil || r.awaitFollow(ctx, true, nil) != nil {
 				return nil
 			}
 			continue
 		}
 		r.Log.Warn("boxes not read", zap.Error(err))
-		if again.wait(ctx) != nil {
+		if retry.wait(ctx) != nil {
 			return nil
 		}
 	}
@@ -39,22 +39,22 @@
 // lookAtBoxes reads the list of boxes, with this one in it: each box finds all those
 // that were listed before it, or is found by them. Where the fleet has run before, this
 // box is likely to be listed still, and need not write.
-func (r *Registry) lookAtBoxes(ctx context.Context, announced *bool) error {
+func (r *Registry) pollBoxes(ctx context.Context, announced *bool) error {
 	if !*announced && r.FirstStart {
 		if err := r.Store.Announce(ctx, r.Self); err != nil {
 			return err
 		}
 		*announced = true
 	}
-	most := listMost
-	if r.looked {
-		most = 0
+	limit := maxInitialBoxes
+	if r.boxesRead {
+		limit = 0
 	}
-	boxes, err := r.readBoxes(ctx, most)
+	boxes, err := r.readBoxes(ctx, limit)
 	if err != nil {
 		return err
 	}
-	r.looked = true
+	r.boxesRead = true
 	r.FoundBoxes(boxes)
 	if *announced || slices.Contains(boxes, r.Self) {
 		*announced = true
@@ -64,7 +64,7 @@
 		return err
 	}
 	*announced = true
-	if boxes, err = r.readBoxes(ctx, most); err != nil {
+	if boxes, err = r.readBoxes(ctx, limit); err != nil {
 		return err
 	}
 	r.FoundBoxes(boxes)
@@ -74,29 +74,29 @@
 // listMost bounds the boxes that one reads of at its start: it needs some to join the others,
 // and hears of the rest from them. Where a large fleet starts at once, the list would else be
 // read as often as it has rows.
-const listMost = 320
+const maxInitialBoxes = 320
 
 // readBoxes reads the rows of boxes. One that can not be read hides no other, and is told
 // of once for each change.
-func (r *Registry) readBoxes(ctx context.Context, most int) (boxes []Box, err error) {
-	listed, err := r.Store.Boxes(ctx, r.Self.Name, most)
+func (r *Registry) readBoxes(ctx context.Context, limit int) (boxes []Box, err error) {
+	listed, err := r.Store.Boxes(ctx, r.Self.Name, limit)
 	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	bad := map[string]epoch.Version{}
+	rejected := map[string]epoch.Version{}
 	for i := range listed {
 		row := &listed[i]
 		if row.Problem == nil {
 			boxes = append(boxes, row.Box)
 			continue
 		}
-		bad[row.Name] = row.Version
-		if r.badBoxes[row.Name] != row.Version {
+		rejected[row.Name] = row.Version
+		if r.rejectedBoxes[row.Name] != row.Version {
 			r.Log.Error("row of a box not taken", zap.String("Box", row.Name), zap.Stringer("Version", row.Version), zap.Error(row.Problem))
 		}
 	}
-	r.badBoxes = bad
+	r.rejectedBoxes = rejected
 	return boxes, nil
 }
--- a/pkg/registry/catalog.go
+++ b/pkg/registry/catalog.go
@@ -11,37 +11,37 @@
 )
 
 func (r *Registry) followCatalog(ctx context.Context) error {
-	again := backoff{peers: r.Peers}
+	retry := backoff{peers: r.Peers}
 	since, known := epoch.Version(0), false
 	orders := orderReader{log: r.Log}
-	r.learnQuarantine(ctx)
+	r.loadQuarantine(ctx)
 	for r.awaitFollow(ctx, r.Catalog() != nil, nil) == nil {
-		declared, err := r.nextDeclared(ctx, since, known)
-		r.noteCall(err)
+		declared, err := r.readDeclared(ctx, since, known)
+		r.recordCall(err)
 		if err != nil {
 			known = known && !isHistoryLost(err)
 			r.Log.Warn("catalog not read", zap.Stringer("Since", since), zap.Error(err))
-			if again.wait(ctx) != nil {
+			if retry.wait(ctx) != nil {
 				return nil
 			}
 			continue
 		}
-		if again.failures > 0 {
-			r.Log.Info("catalog is read again", zap.Int("Failures", again.failures))
+		if retry.failures > 0 {
+			r.Log.Info("catalog is read again", zap.Int("Failures", retry.failures))
 		}
-		again.reset()
+		retry.reset()
 		if declared.Version < since {
 			r.Log.Info("catalog read from another version", zap.Stringer("Since", since), zap.Stringer("Version", declared.Version), zap.Bool("Whole", !known))
 		}
-		r.takeDeclared(declared, &orders, !known)
+		r.applyDeclared(declared, &orders, !known)
 		since, known = declared.Version, true
 	}
 	return nil
 }
 
-func (r *Registry) nextDeclared(ctx context.Context, since epoch.Version, known bool) (Declared, error) {
+func (r *Registry) readDeclared(ctx context.Context, since epoch.Version, known bool) (Declared, error) {
 	if known {
-		wait := min(max(catalogWaitLeast, catalogWaitPart*time.Duration(r.Peers())), catalogWaitMost)
+		wait := min(max(minCatalogPollTimeout, catalogPollTimeoutPerBox*time.Duration(r.Peers())), maxCatalogPollTimeout)
 		return r.Store.DeclaredSince(ctx, since, interval.Jittered(wait))
 	}
 	return r.Store.Declared(ctx)
--- a/pkg/registry/departures.go
+++ b/pkg/registry/departures.go
@@ -15,22 +15,22 @@
 type departure struct {
 	lifecycle.Departure
 	// heardAt is when a box first read it.
-	heardAt time.Time
+	receivedAt time.Time
 	// news orders what this box learnt, and from is the box that told it; empty where it
 	// read an answer itself.
-	news uint64
+	seq  uint64
 	from string
 }
 
 // departureKept is how long the word of an endpoint that the store does not list is kept:
 // as long as other boxes may still hold an entry of it, which an outage may make minutes.
-const departureKept = 10 * time.Minute
+const departureTTL = 10 * time.Minute
 
 // HeardDeparture takes the word of an endpoint's answer that it leaves. From then on the
 // endpoint counts as leaving whatever rows say, until a later start of it is known: the
 // answer is fresher than any row, and the only word while the store is away or this box is
 // cut off from it. It reports whether that is news.
-func (r *Registry) HeardDeparture(chosen *route.Endpoint, now time.Time) (news bool) {
+func (r *Registry) RecordDeparture(chosen *route.Endpoint, now time.Time) (news bool) {
 	told := []lifecycle.Departure{{Endpoint: chosen.ID, Born: chosen.Born}}
 	return r.OfferDepartures(told, "", now)
 }
@@ -43,7 +43,7 @@
 	}
 	r.update(now, func() (changed bool) {
 		for i := range told {
-			changed = r.depart(told[i], from, now) || changed
+			changed = r.addDeparture(told[i], from, now) || changed
 		}
 		news = changed
 		return changed
@@ -52,9 +52,9 @@
 }
 
 // depart notes one of them. The lock is held.
-func (r *Registry) depart(told lifecycle.Departure, from string, now time.Time) (changed bool) {
+func (r *Registry) addDeparture(told lifecycle.Departure, from string, now time.Time) (changed bool) {
 	known, had := r.departures[told.Endpoint]
-	if told.Age > departureKept || (had && known.Born >= told.Born) {
+	if told.Age > departureTTL || (had && known.Born >= told.Born) {
 		return false
 	}
 	entry, listed := r.entries.find(told.Endpoint)
@@ -64,9 +64,9 @@
 	if r.departures == nil {
 		r.departures = map[string]departure{}
 	}
-	r.departureNews++
-	r.touched = append(r.touched, told.Endpoint)
-	r.departures[told.Endpoint] = departure{Departure: told, heardAt: now.Add(-told.Age), news: r.departureNews, from: from}
+	r.departureSeq++
+	r.changedIDs = append(r.changedIDs, told.Endpoint)
+	r.departures[told.Endpoint] = departure{Departure: told, receivedAt: now.Add(-told.Age), seq: r.departureSeq, from: from}
 	r.Log.Info("endpoint says that it leaves",
 		zap.String("Endpoint", told.Endpoint),
 		zap.Int64("Born", told.Born),
@@ -77,18 +77,18 @@
 }
 
 // leaves tells whether an endpoint leaves, by its row or by an answer. The lock is held.
-func (r *Registry) leaves(endpoint *route.Endpoint) bool {
+func (r *Registry) isLeaving(endpoint *route.Endpoint) bool {
 	said, had := r.departures[endpoint.ID]
 	return endpoint.Leaving || (had && said.Concerns(&endpoint.Facts))
 }
 
 // forgetDepartures drops what no entry can concern any more. The lock is held.
-func (r *Registry) forgetDepartures(now time.Time) {
+func (r *Registry) expireDepartures(now time.Time) {
 	for id, said := range r.departures {
 		entry, listed := r.entries.find(id)
 		if listed && !said.Concerns(&entry.Facts) {
 			delete(r.departures, id)
-		} else if (!listed || entry.Gone) && now.Sub(said.heardAt) > departureKept {
+		} else if (!listed || entry.Gone) && now.Sub(said.receivedAt) > departureTTL {
 			delete(r.departures, id)
 		}
 	}
@@ -99,20 +99,20 @@
 func (r *Registry) Departures(since uint64, to string, now time.Time) (told []lifecycle.Departure, mark uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if since >= r.departureNews {
-		return nil, r.departureNews
+	if since >= r.departureSeq {
+		return nil, r.departureSeq
 	}
-	r.forgetDepartures(now)
+	r.expireDepartures(now)
 	var fresh []departure
 	for _, said := range r.departures {
-		if said.news > since && (said.from == "" || said.from != to) {
+		if said.seq > since && (said.from == "" || said.from != to) {
 			fresh = append(fresh, said)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b departure) int { return cmp.Compare(a.news, b.news) })
+	slices.SortFunc(fresh, func(a, b departure) int { return cmp.Compare(a.seq, b.seq) })
 	for _, said := range fresh {
-		said.Age = now.Sub(said.heardAt)
+		said.Age = now.Sub(said.receivedAt)
 		told = append(told, said.Departure)
 	}
-	return told, r.departureNews
+	return told, r.departureSeq
 }
--- a/pkg/registry/departures_test.go
+++ b/pkg/registry/departures_test.go
@@ -17,7 +17,7 @@
 // An engine that had said in an answer that it leaves got requests for as long as the store
 // was away: only its row there was believed.
 
-var departed = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var baseTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newRegistry() *Registry {
 	return &Registry{Log: zap.NewNop(), Changed: func() {}}
@@ -33,7 +33,7 @@
 func TestDepartureHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegistry()
-		now, version, newest := departed, epoch.Version(0), int64(1)
+		now, version, newest := baseTime, epoch.Version(0), int64(1)
 		said := int64(0)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "pause")) * time.Millisecond)
@@ -41,20 +41,20 @@
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0, 1:
 				born := newest - int64(rapid.IntRange(0, 1).Draw(t, "older"))
-				r.takeRead([]Entry{rowOf(version, born, rapid.IntRange(0, 3).Draw(t, "leaving") == 0)}, version, false, now)
+				r.applyReadNow([]Entry{rowOf(version, born, rapid.IntRange(0, 3).Draw(t, "leaving") == 0)}, version, false, now)
 			case 2:
 				newest++
 			case 3:
 				gone := rowOf(version, newest, false)
 				gone.Gone = true
-				r.takeRead([]Entry{gone}, version, false, now)
+				r.applyReadNow([]Entry{gone}, version, false, now)
 			case 4:
-				r.endpointsFailed(errStoreDown)
-				r.unwellAt = now
+				r.recordEndpointsFailure(errStoreDown)
+				r.failedAt = now
 			case 5:
 				if directory := r.Directory(); directory != nil {
 					if known, listed := directory.Find("e"); listed {
-						r.HeardDeparture(&known, now)
+						r.RecordDeparture(&known, now)
 						said = max(said, known.Born)
 					}
 				}
@@ -78,74 +78,74 @@
 	leaving := func(r *Registry) bool { return endpointIn(r, "e").Leaving }
 	Convey("An endpoint that says so in an answer leaves, by whatever row", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{rowOf(1, 0, false)}, 1, true, departed)
+		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
-		So(r.HeardDeparture(&known, departed), ShouldBeTrue)
+		So(r.RecordDeparture(&known, baseTime), ShouldBeTrue)
 		So(leaving(r), ShouldBeTrue)
-		So(r.HeardDeparture(&known, departed), ShouldBeFalse)
-		r.takeRead([]Entry{rowOf(2, 0, false)}, 2, false, departed.Add(time.Hour))
+		So(r.RecordDeparture(&known, baseTime), ShouldBeFalse)
+		r.applyReadNow([]Entry{rowOf(2, 0, false)}, 2, false, baseTime.Add(time.Hour))
 		So(leaving(r), ShouldBeTrue)
-		r.takeRead([]Entry{rowOf(3, 0, false)}, 3, true, departed.Add(time.Hour))
+		r.applyReadNow([]Entry{rowOf(3, 0, false)}, 3, true, baseTime.Add(time.Hour))
 		So(leaving(r), ShouldBeTrue)
 	})
 	Convey("A later start takes requests, and an earlier one's word is no news to it", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{rowOf(1, 5, false)}, 1, true, departed)
+		r.applyReadNow([]Entry{rowOf(1, 5, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
-		r.HeardDeparture(&known, departed)
-		r.takeRead([]Entry{rowOf(2, 6, false)}, 2, false, departed)
+		r.RecordDeparture(&known, baseTime)
+		r.applyReadNow([]Entry{rowOf(2, 6, false)}, 2, false, baseTime)
 		So(leaving(r), ShouldBeFalse)
-		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "e", Born: 5}}, "peer", departed), ShouldBeFalse)
+		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "e", Born: 5}}, "peer", baseTime), ShouldBeFalse)
 		So(leaving(r), ShouldBeFalse)
 	})
 	Convey("A word that comes before the row holds once that is read", t, func() {
 		r := newRegistry()
-		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "e"}}, "peer", departed), ShouldBeTrue)
-		r.takeRead([]Entry{rowOf(1, 0, false)}, 1, true, departed)
+		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "e"}}, "peer", baseTime), ShouldBeTrue)
+		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		So(leaving(r), ShouldBeTrue)
 	})
 	Convey("Its row that goes in an outage is no lapse: it has left", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{rowOf(1, 0, false)}, 1, true, departed)
+		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
-		r.HeardDeparture(&known, departed)
-		r.unwellAt = departed.Add(time.Second)
-		r.takeRead(nil, 2, true, departed.Add(time.Second))
+		r.RecordDeparture(&known, baseTime)
+		r.failedAt = baseTime.Add(time.Second)
+		r.applyReadNow(nil, 2, true, baseTime.Add(time.Second))
 		So(r.Directory().Len(), ShouldEqual, 0)
 	})
 	Convey("Each box is told what it did not tell itself, once", t, func() {
 		r := newRegistry()
-		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "a"}}, "box-1", departed)
-		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "b", Age: time.Minute}}, "", departed)
-		told, mark := r.Departures(0, "box-1", departed.Add(time.Second))
+		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "a"}}, "box-1", baseTime)
+		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "b", Age: time.Minute}}, "", baseTime)
+		told, mark := r.Departures(0, "box-1", baseTime.Add(time.Second))
 		So(told, ShouldResemble, []lifecycle.Departure{{Endpoint: "b", Age: time.Minute + time.Second}})
-		told, _ = r.Departures(0, "box-2", departed)
+		told, _ = r.Departures(0, "box-2", baseTime)
 		So(told, ShouldHaveLength, 2)
-		told, mark = r.Departures(mark, "box-1", departed)
+		told, mark = r.Departures(mark, "box-1", baseTime)
 		So(told, ShouldBeEmpty)
-		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "c"}}, "box-2", departed)
-		told, _ = r.Departures(mark, "box-1", departed)
+		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "c"}}, "box-2", baseTime)
+		told, _ = r.Departures(mark, "box-1", baseTime)
 		So(told, ShouldHaveLength, 1)
 	})
 	Convey("What no entry can concern any more is forgotten, and old words do not come back", t, func() {
 		r := newRegistry()
 		for i := range 1000 {
-			r.OfferDepartures([]lifecycle.Departure{{Endpoint: fmt.Sprint(i)}}, "box-1", departed)
+			r.OfferDepartures([]lifecycle.Departure{{Endpoint: fmt.Sprint(i)}}, "box-1", baseTime)
 		}
-		later := departed.Add(departureKept + time.Second)
+		later := baseTime.Add(departureTTL + time.Second)
 		told, _ := r.Departures(0, "", later)
 		So(told, ShouldBeEmpty)
 		So(r.departures, ShouldBeEmpty)
-		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "1", Age: departureKept + time.Second}}, "box-1", later), ShouldBeFalse)
+		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "1", Age: departureTTL + time.Second}}, "box-1", later), ShouldBeFalse)
 	})
 	Convey("That of a listed endpoint is kept as long as its entry", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{rowOf(1, 0, false)}, 1, true, departed)
+		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
-		r.HeardDeparture(&known, departed)
-		told, _ := r.Departures(0, "", departed.Add(24*time.Hour))
+		r.RecordDeparture(&known, baseTime)
+		told, _ := r.Departures(0, "", baseTime.Add(24*time.Hour))
 		So(told, ShouldHaveLength, 1)
-		r.takeRead([]Entry{rowOf(2, 0, false)}, 2, false, departed.Add(24*time.Hour))
+		r.applyReadNow([]Entry{rowOf(2, 0, false)}, 2, false, baseTime.Add(24*time.Hour))
 		So(leaving(r), ShouldBeTrue)
 	})
 }
@@ -155,13 +155,13 @@
 func TestLateRowDoesNotUndoLeaving(t *testing.T) {
 	Convey("A row of the same start that says otherwise changes nothing, and one of a later start does", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{rowOf(1, 7, false)}, 1, true, departed)
-		r.takeRead([]Entry{rowOf(2, 7, true)}, 2, false, departed)
-		r.takeRead([]Entry{rowOf(3, 7, false)}, 3, false, departed)
+		r.applyReadNow([]Entry{rowOf(1, 7, false)}, 1, true, baseTime)
+		r.applyReadNow([]Entry{rowOf(2, 7, true)}, 2, false, baseTime)
+		r.applyReadNow([]Entry{rowOf(3, 7, false)}, 3, false, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeTrue)
-		told, _ := r.Departures(0, "", departed)
+		told, _ := r.Departures(0, "", baseTime)
 		So(told, ShouldHaveLength, 1)
-		r.takeRead([]Entry{rowOf(4, 8, false)}, 4, false, departed)
+		r.applyReadNow([]Entry{rowOf(4, 8, false)}, 4, false, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeFalse)
 	})
 }
--- a/pkg/registry/divergence_test.go
+++ b/pkg/registry/divergence_test.go
@@ -15,40 +15,40 @@
 		right, wrong := newRegistry(), newRegistry()
 		listed := []Entry{{Endpoint: endpointOf("a"), Version: 1}, {Endpoint: endpointOf("b"), Version: 4}}
 		for _, box := range []*Registry{right, wrong} {
-			box.takeRead(listed, 9, true, now)
+			box.applyReadNow(listed, 9, true, now)
 		}
 		hear := func() {
-			right.HeardKnowledge(wrong.Knowledge(), wrong.Newest())
-			wrong.HeardKnowledge(right.Knowledge(), right.Newest())
+			right.ReceiveKnowledge(wrong.Knowledge(), wrong.NewestVersion())
+			wrong.ReceiveKnowledge(right.Knowledge(), right.NewestVersion())
 		}
 		hear()
-		So(right.lacks(now.Add(time.Minute)), ShouldBeFalse)
-		So(wrong.lacks(now.Add(time.Minute)), ShouldBeFalse)
+		So(right.needsOwnRead(now.Add(time.Minute)), ShouldBeFalse)
+		So(wrong.needsOwnRead(now.Add(time.Minute)), ShouldBeFalse)
 		wrong.update(now, func() bool {
 			wrong.put(Entry{Endpoint: endpointOf("left"), Version: 3})
 			return true
 		})
 		hear()
 		Convey("the one that is wrong finds out by a reading of all, in the time for leaving", func() {
-			So(wrong.isDivergent(now.Add(defaultLeavingTime)), ShouldBeTrue)
-			wrong.takeRead(listed, 9, true, now)
+			So(wrong.isDivergent(now.Add(defaultMaxLeavingDelay)), ShouldBeTrue)
+			wrong.applyReadNow(listed, 9, true, now)
 			So(has(wrong, "left"), ShouldBeFalse)
 			hear()
-			So(wrong.lacks(now.Add(time.Minute)), ShouldBeFalse)
+			So(wrong.needsOwnRead(now.Add(time.Minute)), ShouldBeFalse)
 		})
 		Convey("nor does it try again at once where the store is lost", func() {
-			wrong.endpointsFailed(errStoreDown)
-			So(wrong.lacks(time.Now().Add(divergenceRest/2)), ShouldBeFalse)
-			So(wrong.lacks(time.Now().Add(divergenceRest+time.Second)), ShouldBeTrue)
+			wrong.recordEndpointsFailure(errStoreDown)
+			So(wrong.needsOwnRead(time.Now().Add(minDivergenceBackoff/2)), ShouldBeFalse)
+			So(wrong.needsOwnRead(time.Now().Add(minDivergenceBackoff+time.Second)), ShouldBeTrue)
 		})
 		Convey("the other one reads all as well, and then ever more seldom", func() {
-			for rest := divergenceRest; rest < divergenceRestMost; rest *= 2 {
+			for rest := minDivergenceBackoff; rest < maxDivergenceBackoff; rest *= 2 {
 				So(right.isDivergent(now.Add(time.Hour)), ShouldBeTrue)
-				right.takeRead(listed, 9, true, time.Now())
-				So(right.divergence.rest, ShouldBeGreaterThanOrEqualTo, rest)
+				right.applyReadNow(listed, 9, true, time.Now())
+				So(right.divergence.backoff, ShouldBeGreaterThanOrEqualTo, rest)
 				hear()
 				So(right.isDivergent(now.Add(time.Hour)), ShouldBeFalse)
-				right.divergence.restUntil = time.Time{}
+				right.divergence.ignoredUntil = time.Time{}
 				hear()
 			}
 		})
--- a/pkg/registry/endpoints.go
+++ b/pkg/registry/endpoints.go
@@ -17,21 +17,21 @@
 // takeAnswer merges what the store says as of a version, in answer to a call that was made at a
 // position. Whole marks that the entries are all there are, and not only those that changed. It
 // returns how many were passed over though they differ from what is known.
-func (r *Registry) takeAnswer(entries []Entry, since, version epoch.Version, whole bool, now time.Time) (passedOver int) {
+func (r *Registry) applyRead(entries []Entry, since, version epoch.Version, full bool, now time.Time) (passedOver int) {
 	r.update(now, func() (changed bool) {
 		r.passedOver = 0
 		defer func() { passedOver = r.passedOver }()
-		if r.isOutdated(since, version) {
+		if r.isStaleRead(since, version) {
 			return false
 		}
-		r.noteRead(version, now)
-		if whole {
-			entries = append(entries, r.absent(entries, version)...)
+		r.recordRead(version, now)
+		if full {
+			entries = append(entries, r.missingEntries(entries, version)...)
 		}
 		changed = r.mergeAll(entries, fromStore, now)
-		r.knowledge.Read(version, whole)
-		if whole {
-			r.divergence.settle(changed, now)
+		r.knowledge.Read(version, full)
+		if full {
+			r.divergence.recordFullRead(changed, now)
 		}
 		return changed
 	})
@@ -41,7 +41,7 @@
 // isOutdated tells whether others have told more than an answer of the store knows, since the call
 // was made. It may list an endpoint whose removal is behind the position by now, and would not be
 // read any more. The lock is held.
-func (r *Registry) isOutdated(since, version epoch.Version) bool {
+func (r *Registry) isStaleRead(since, version epoch.Version) bool {
 	known := r.knowledge.Known
 	if known <= since || known <= version {
 		return false
@@ -57,7 +57,7 @@
 func (r *Registry) update(now time.Time, change func() (changed bool)) {
 	r.mu.Lock()
 	changed := change()
-	changed = r.endLapses(now) || changed
+	changed = r.endGracePeriods(now) || changed
 	changed = r.endHolds(now) || changed
 	if changed || r.directory.Load() == nil {
 		r.publish()
@@ -70,14 +70,14 @@
 
 // absent makes removals of the entries that a whole reading as of a version no longer
 // has.
-func (r *Registry) absent(entries []Entry, version epoch.Version) []Entry {
+func (r *Registry) missingEntries(entries []Entry, version epoch.Version) []Entry {
 	present := make(map[string]bool, len(entries))
 	for i := range entries {
 		present[entries[i].ID] = true
 	}
 	var gone []Entry
 	r.entries.each(func(known *Entry) {
-		if !present[known.ID] && (!known.Gone || known.Held) && known.LapsesAt.IsZero() {
+		if !present[known.ID] && (!known.Gone || known.Held) && known.GraceEnd.IsZero() {
 			removed := *known
 			removed.Gone, removed.Held, removed.Version = true, false, version
 			gone = append(gone, removed)
@@ -88,12 +88,12 @@
 
 // mostLogged bounds the endpoints that are logged one by one: when many become known at once,
 // as at a start, one line tells of all.
-const mostLogged = 64
+const maxLoggedEntries = 64
 
 // mergeAll takes entries, and reports whether any matters to those who choose endpoints. The
 // lock is held.
 func (r *Registry) mergeAll(entries []Entry, from string, now time.Time) (changed bool) {
-	r.quiet = len(entries) > mostLogged
+	r.quiet = len(entries) > maxLoggedEntries
 	for i := range entries {
 		changed = r.merge(entries[i], from, now) || changed
 	}
@@ -119,11 +119,11 @@
 
 // put keeps an entry. The lock is held.
 func (r *Registry) put(entry Entry) {
-	before, _ := r.entries.at(entry.ID)
+	before, _ := r.entries.lookup(entry.ID)
 	r.digest ^= digestOf(before) ^ digestOf(&entry)
 	r.entries.put(entry)
-	r.newest = max(r.newest, entry.Version)
-	r.touched = append(r.touched, entry.ID)
+	r.newestVersion = max(r.newestVersion, entry.Version)
+	r.changedIDs = append(r.changedIDs, entry.ID)
 }
 
 // merge takes one entry if it is newer, and reports whether that matters to
@@ -131,14 +131,14 @@
 func (r *Registry) merge(entry Entry, from string, now time.Time) bool {
 	entry.Hash = xxhash.Sum64String(entry.ID)
 	known, had := r.entries.find(entry.ID)
-	if had && entry.Gone && entry.Version == known.Version && !known.LapsesAt.IsZero() {
+	if had && entry.Gone && entry.Version == known.Version && !known.GraceEnd.IsZero() {
 		return r.remove(known, entry, from, now)
 	}
 	// What changed up to the position is known: an account that is not has been replaced.
 	replaced := from != fromStore && !entry.Gone && entry.Version <= r.knowledge.Known
 	if replaced || (had && entry.Version <= known.Version) {
 		if entry.Leaving && entry.Version.HasEarlierEpochThan(known.Version) {
-			return r.depart(lifecycle.Departure{Endpoint: entry.ID, Born: entry.Born}, from, now)
+			return r.addDeparture(lifecycle.Departure{Endpoint: entry.ID, Born: entry.Born}, from, now)
 		}
 		if entry.Gone != known.Gone || entry.Leaving != known.Leaving || entry.Born != known.Born {
 			r.passedOver++
@@ -151,9 +151,9 @@
 	if entry.Gone && !entry.Held {
 		return r.remove(known, entry, from, now)
 	}
-	if !entry.LapsesAt.IsZero() {
-		entry.LapsesAt = r.toldLapseEnd(entry.LapsesAt, now)
-		return r.lapse(known, entry, from, now)
+	if !entry.GraceEnd.IsZero() {
+		entry.GraceEnd = r.reportedGraceEnd(entry.GraceEnd, now)
+		return r.startGrace(known, entry, from, now)
 	}
 	if had && entry.Outdated(&known.Facts) {
 		r.Log.Info("entry of an earlier start passed over",
@@ -164,7 +164,7 @@
 		return false
 	}
 	if had {
-		r.outlive(&entry, &known, now)
+		r.carryOver(&entry, &known, now)
 	}
 	if entry.Held {
 		r.hold(entry, now)
@@ -175,7 +175,7 @@
 	}
 	r.put(entry)
 	delete(r.held, entry.ID)
-	delete(r.lapsing, entry.ID)
+	delete(r.inGrace, entry.ID)
 	if had && !known.Gone && entry.Endpoint == known.Endpoint {
 		return false
 	}
@@ -192,22 +192,22 @@
 		zap.Error(entry.Problem))
 	used := known.ID != "" && !known.Gone
 	known.ID = entry.ID
-	r.bury(known, entry.Version)
+	r.markGone(known, entry.Version)
 	return used
 }
 
 // remove takes the word that an entry is gone. The box that read it in the store
 // judges whether an outage of the store may be the reason, and tells the others.
 func (r *Registry) remove(known, entry Entry, from string, now time.Time) bool {
-	if from == fromStore && known.ID != "" && !known.Gone && !r.leaves(&known.Endpoint) && now.Sub(r.unwellAt) < unwellFor {
-		entry.LapsesAt = r.lapseEnd()
-		return r.lapse(known, entry, from, now)
+	if from == fromStore && known.ID != "" && !known.Gone && !r.isLeaving(&known.Endpoint) && now.Sub(r.failedAt) < outageWindow {
+		entry.GraceEnd = r.graceEnd()
+		return r.startGrace(known, entry, from, now)
 	}
 	if known.ID == "" {
 		known.ID = entry.ID
 	}
 	wasGone := known.Gone
-	r.bury(known, entry.Version)
+	r.markGone(known, entry.Version)
 	if !wasGone {
 		r.Log.Info("endpoint gone",
 			zap.String("Endpoint", entry.ID),
@@ -217,35 +217,35 @@
 	return !wasGone
 }
 
-func (r *Registry) bury(known Entry, version epoch.Version) {
+func (r *Registry) markGone(known Entry, version epoch.Version) {
 	known.Version = version
-	known.Gone, known.Held, known.LapsesAt = true, false, time.Time{}
+	known.Gone, known.Held, known.GraceEnd = true, false, time.Time{}
 	r.put(known)
-	delete(r.lapsing, known.ID)
+	delete(r.inGrace, known.ID)
 	delete(r.held, known.ID)
 }
 
 // publish makes the directory that others read, out of the one before and the entries that
 // changed. The lock is held.
 func (r *Registry) publish() {
-	wanted := make([]route.Change, 0, len(r.touched))
-	for _, id := range r.touched {
-		wanted = append(wanted, r.changeOf(id))
+	wanted := make([]route.Change, 0, len(r.changedIDs))
+	for _, id := range r.changedIDs {
+		wanted = append(wanted, r.directoryChange(id))
 	}
-	r.touched = nil
+	r.changedIDs = nil
 	directory, changes := r.directory.Load().With(wanted)
-	r.changes = append(r.changes, changes...)
+	r.pendingChanges = append(r.pendingChanges, changes...)
 	r.directory.Store(directory)
 }
 
 // changeOf is what the directory is to say of an endpoint. The lock is held.
-func (r *Registry) changeOf(id string) route.Change {
-	entry, _ := r.entries.at(id)
+func (r *Registry) directoryChange(id string) route.Change {
+	entry, _ := r.entries.lookup(id)
 	if entry == nil || entry.Gone {
 		return route.Change{Before: &route.Endpoint{ID: id}}
 	}
 	endpoint := &entry.Endpoint
-	evacuated, leaving := r.orders.Load().Evacuates(endpoint.Zone), r.leaves(endpoint)
+	evacuated, leaving := r.orders.Load().Evacuates(endpoint.Zone), r.isLeaving(endpoint)
 	if evacuated != endpoint.Evacuated || leaving != endpoint.Leaving {
 		changed := *endpoint
 		changed.Evacuated, changed.Leaving = evacuated, leaving
@@ -259,7 +259,7 @@
 func (r *Registry) TakeChanges() (changes []route.Change, directory *route.Directory) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changes, r.changes = r.changes, nil
+	changes, r.pendingChanges = r.pendingChanges, nil
 	return changes, r.directory.Load()
 }
 
@@ -268,58 +268,58 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.knowledge
-	known.Digest = r.toldDigest()
+	known.Digest = r.reportedDigest()
 	return known
 }
 
 // Newest is the highest version of an account of an endpoint.
-func (r *Registry) Newest() epoch.Version {
+func (r *Registry) NewestVersion() epoch.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.newest
+	return r.newestVersion
 }
 
 // pageEntries bounds the accounts that are told at once: a box may be asked by all of its
 // neighbours in the same moment, and what it makes for each of them takes memory.
-const pageEntries = 512
+const maxPageEntries = 512
 
 // Since are the first accounts of endpoints that changed after a version, for a box that knows
 // all up to there, and how much it then knows. Where there are more, that is nothing new, and
 // the rest follows after the version of the last one. The entries are not to be changed.
-func (r *Registry) Since(version epoch.Version) (entries []*Entry, then route.Knowledge, more bool) {
+func (r *Registry) EntriesSince(version epoch.Version) (entries []*Entry, knowledge route.Knowledge, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	entries, more = r.entries.since(version, pageEntries)
+	entries, more = r.entries.since(version, maxPageEntries)
 	return entries, r.knowledge, more
 }
 
 // OfferEntries merges what a peer tells: all that changed after what was known here. The peer may
 // have started again since its knowledge was heard, so that it can no longer serve this box.
-func (r *Registry) OfferEntries(entries []Entry, then route.Knowledge, from string) {
+func (r *Registry) OfferEntries(entries []Entry, knowledge route.Knowledge, from string) {
 	now := time.Now()
-	looked := false
+	polled := false
 	r.update(now, func() (changed bool) {
-		served := r.served(then)
+		complete := r.canUpdateFrom(knowledge)
 		changed = r.mergeAll(entries, from, now)
-		if !served {
-			r.logUnserved(then, from)
-			r.unserved.note(then.Known, r.leavingTime(), now)
+		if !complete {
+			r.logIncompleteUpdate(knowledge, from)
+			r.missing.record(knowledge.Known, r.maxLeavingDelay(), now)
 			return changed
 		}
-		looked = then.Looks > r.knowledge.Looks
-		if known := r.knowledge.Known; known.HasEarlierEpochThan(then.Known) && known != 0 {
-			r.logRestored(known, then.Known, from)
+		polled = knowledge.Looks > r.knowledge.Looks
+		if known := r.knowledge.Known; known.HasEarlierEpochThan(knowledge.Known) && known != 0 {
+			r.logRestored(known, knowledge.Known, from)
 		}
-		r.knowledge.Join(then)
+		r.knowledge.Join(knowledge)
 		return changed
 	})
-	if looked {
-		r.HeardLook()
+	if polled {
+		r.RecordPeerPoll()
 	}
 }
 
 // logUnserved tells of a box whose account of the endpoints leaves out what went before it knew any.
-func (r *Registry) logUnserved(other route.Knowledge, from string) {
+func (r *Registry) logIncompleteUpdate(other route.Knowledge, from string) {
 	r.Log.Warn("endpoints taken from a box that can not tell all changes",
 		zap.Stringer("Known", r.knowledge.Known),
 		zap.Stringer("Base", other.Base),
@@ -331,7 +331,7 @@
 // served tells whether what another box knows is all that this one lacks. Accounts of later
 // versions than this box knows all changes up to are known here from boxes that could not serve
 // it: what came of them has to be known there as well. The lock is held.
-func (r *Registry) served(other route.Knowledge) bool {
+func (r *Registry) canUpdateFrom(other route.Knowledge) bool {
 	own := r.knowledge
 	if own.Known == 0 || !other.Serves(own) {
 		return own.Known == 0
@@ -346,24 +346,24 @@
 // change, this box knows as much now, and news is set. Where something changed, the
 // peer has to be asked for it. A peer that knows only of later endpoints is of no use:
 // this box has to look for itself.
-func (r *Registry) HeardKnowledge(other route.Knowledge, newest epoch.Version) (news, ask bool) {
+func (r *Registry) ReceiveKnowledge(other route.Knowledge, newest epoch.Version) (news, ask bool) {
 	r.mu.Lock()
 	known, upTo := r.knowledge, r.knowledge.Known
-	r.compare(other, time.Now())
+	r.compareDigest(other, time.Now())
 	ahead := other.Known > upTo
 	switch {
-	case ahead && !r.served(other):
-		r.unserved.note(other.Known, r.leavingTime(), time.Now())
+	case ahead && !r.canUpdateFrom(other):
+		r.missing.record(other.Known, r.maxLeavingDelay(), time.Now())
 	case ahead && (newest > upTo || upTo == 0):
 		ask = true
 	default:
 		r.knowledge.Join(other)
 	}
 	news = r.knowledge != known
-	looked := r.knowledge.Looks > known.Looks
+	polled := r.knowledge.Looks > known.Looks
 	r.mu.Unlock()
-	if looked {
-		r.HeardLook()
+	if polled {
+		r.RecordPeerPoll()
 	}
 	return news, ask
 }
--- a/pkg/registry/follow.go
+++ b/pkg/registry/follow.go
@@ -14,50 +14,50 @@
 const (
 	// followLook is the time between two looks whether it falls to this box to follow the
 	// store. A fleet notices within a few seconds that a box is gone; this adds little.
-	followLook = 250 * time.Millisecond
+	followCheckInterval = 250 * time.Millisecond
 	// firstStartWait is how long a box of a fleet that starts for the first time waits
 	// for others to tell it what the store holds. Sessions stand within half a second,
 	// and callers come seconds later. After a restart callers wait already.
-	firstStartWait = 700 * time.Millisecond
+	firstStartDelay = 700 * time.Millisecond
 	// toldPatience is how long a box that knows nothing yet lets others tell it where no box
 	// of the fleet has run before.
-	toldPatience = 3 * time.Second
+	firstStartTimeout = 3 * time.Second
 	// turnStep is the time in which those that read the store tell the others, at least, and
 	// turnCalls the same in calls of this box for the list of boxes: where the store or the
 	// box is slow, so is all that follows. It goes for boxes that are listed and not heard,
 	// and turnMost bounds the time until the last one reads for itself.
-	turnStep  = 600 * time.Millisecond
-	turnCalls = 10
-	turnMost  = 10 * turnStep
+	minTurnInterval   = 600 * time.Millisecond
+	turnIntervalCalls = 10
+	maxStartDelay     = 10 * minTurnInterval
 	// turnLongest bounds the wait for boxes that are alive and reach the store.
-	turnLongest = time.Minute
+	maxLiveStartDelay = time.Minute
 	// listPatience is how long a box waits for the list of boxes, which tells its turn.
-	listPatience = 3 * time.Second
+	boxListTimeout = 3 * time.Second
 	// turnBoxes is the number of boxes that read at once.
-	turnBoxes = 6
+	maxStartReaders = 6
 	// turnLook is the time between two looks whether it is this box's turn.
-	turnLook = 50 * time.Millisecond
+	startCheckInterval = 50 * time.Millisecond
 )
 
 // awaitTurnToRead waits until it falls to this box to read what it does not know, or until
 // others have told it. Where all boxes start at once and each reads for itself, a table of many
 // pages is read once for each box, which slows the store for all, so that even more read.
-func (r *Registry) awaitTurnToRead(ctx context.Context) error {
+func (r *Registry) awaitStartTurn(ctx context.Context) error {
 	if r.FirstStart {
-		if err := interval.Wait(ctx, firstStartWait); err != nil {
+		if err := interval.Wait(ctx, firstStartDelay); err != nil {
 			return err
 		}
 	}
 	began := time.Now()
-	listed, cancel := context.WithTimeout(ctx, listPatience)
+	listed, cancel := context.WithTimeout(ctx, boxListTimeout)
 	defer cancel()
 	select {
 	case <-listed.Done():
 	case <-r.boxesListed():
 	}
-	step := max(turnStep, turnCalls*time.Since(began))
-	for listed := time.Now(); r.uninformed() && !r.mayRead(time.Since(listed), step); {
-		if err := interval.Wait(ctx, interval.Jittered(turnLook)); err != nil {
+	step := max(minTurnInterval, turnIntervalCalls*time.Since(began))
+	for listed := time.Now(); r.isUninitialized() && !r.canRead(time.Since(listed), step); {
+		if err := interval.Wait(ctx, interval.Jittered(startCheckInterval)); err != nil {
 			return err
 		}
 	}
@@ -67,18 +67,18 @@
 // mayRead tells whether it falls to this box to read, some time after it found out its turn.
 // Those before it that are alive and reach the store read and tell it, however long that takes;
 // those that are only listed may be gone.
-func (r *Registry) mayRead(waited, step time.Duration) bool {
-	if r.FirstStart && waited < toldPatience && !r.Follows() {
+func (r *Registry) canRead(waited, step time.Duration) bool {
+	if r.FirstStart && waited < firstStartTimeout && !r.Follows() {
 		return false
 	}
-	if r.Ahead != nil && r.Ahead() >= turnBoxes && waited < turnLongest {
+	if r.LiveAhead != nil && r.LiveAhead() >= maxStartReaders && waited < maxLiveStartDelay {
 		return false
 	}
-	if r.Turn == nil {
+	if r.StartRank == nil {
 		return true
 	}
-	turns := time.Duration(r.Turn() / turnBoxes)
-	return waited >= min(turns, turnMost/turnStep)*step
+	turns := time.Duration(r.StartRank() / maxStartReaders)
+	return waited >= min(turns, maxStartDelay/minTurnInterval)*step
 }
 
 func (r *Registry) boxesListed() chan struct{} {
@@ -95,7 +95,7 @@
 		return ctx.Err()
 	}
 	if !informed {
-		if err := r.awaitTurnToRead(ctx); err != nil || r.uninformed() {
+		if err := r.awaitStartTurn(ctx); err != nil || r.isUninitialized() {
 			return err
 		}
 	}
@@ -106,7 +106,7 @@
 			return ctx.Err()
 		}
 		waited = true
-		if err := interval.Wait(ctx, interval.Jittered(followLook)); err != nil {
+		if err := interval.Wait(ctx, interval.Jittered(followCheckInterval)); err != nil {
 			return err
 		}
 	}
@@ -116,14 +116,14 @@
 	if waited && r.LostElsewhere() {
 		// What went just now may have gone because the store was away: the boxes that
 		// followed it know, and this one has to judge as they do.
-		r.endpointsFailed(errLostElsewhere)
+		r.recordEndpointsFailure(errLostElsewhere)
 	}
 	return ctx.Err()
 }
 
 // unserved is what a box lacks that others know of and can not tell it, as they have started
 // after what it knows.
-type unserved struct {
+type missingUpdates struct {
 	// known is the version up to which others know, and since when the box looks by itself
 	// unless it is told meanwhile; zero while it lacks nothing.
 	known epoch.Version
@@ -134,14 +134,14 @@
 // parts of the time in which leaving endpoints have to be known. The first one that looks tells the
 // others, so they look at different times. The time between two looks goes before.
 const (
-	unservedLeast  = 0.1
-	unservedSpread = 0.2
+	minOwnReadFraction    = 0.1
+	ownReadJitterFraction = 0.2
 )
 
 // note notes that others know up to a version.
-func (u *unserved) note(known epoch.Version, leaving time.Duration, now time.Time) {
+func (u *missingUpdates) record(known epoch.Version, leaving time.Duration, now time.Time) {
 	if u.due.IsZero() {
-		u.due = now.Add(time.Duration((unservedLeast + unservedSpread*rand.Float64()) * float64(leaving)))
+		u.due = now.Add(time.Duration((minOwnReadFraction + ownReadJitterFraction*rand.Float64()) * float64(leaving)))
 	}
 	u.known = max(u.known, known)
 }
@@ -149,32 +149,32 @@
 // isUnserved tells whether this box has to look at the store by itself, though others follow
 // it. Without it, boxes that follow nobody sent requests to endpoints that had ended for 12 s,
 // until a soak was over, as all that followed the store had started after what they knew.
-func (r *Registry) isUnserved(now time.Time) bool {
+func (r *Registry) isMissingUpdates(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.knowledge.Known >= r.unserved.known {
-		r.unserved = unserved{}
+	if r.knowledge.Known >= r.missing.known {
+		r.missing = missingUpdates{}
 	}
-	return !r.unserved.due.IsZero() && now.After(r.unserved.due)
+	return !r.missing.due.IsZero() && now.After(r.missing.due)
 }
 
 // uninformed tells whether this box still lacks what it needs for serving.
-func (r *Registry) uninformed() bool { return r.Catalog() == nil || r.Directory() == nil }
+func (r *Registry) isUninitialized() bool { return r.Catalog() == nil || r.Directory() == nil }
 
 // lostLeast is the least time between two words that the store is lost or back: where
 // answers are lost at random, calls fail and succeed by turns, and each word crosses the
 // fleet.
-const lostLeast = time.Second
+const minStoreLostInterval = time.Second
 
 // noteCall notes whether this box's calls of the store work.
-func (r *Registry) noteCall(err error) {
+func (r *Registry) recordCall(err error) {
 	if r.StoreLost == nil {
 		return
 	}
 	lost := err != nil && !isHistoryLost(err)
 	now := time.Now()
 	r.mu.Lock()
-	told := lost != r.lost && now.Sub(r.lostAt) >= lostLeast
+	told := lost != r.lost && now.Sub(r.lostAt) >= minStoreLostInterval
 	if told {
 		r.lost, r.lostAt = lost, now
 	}
--- a/pkg/registry/follow_test.go
+++ b/pkg/registry/follow_test.go
@@ -16,22 +16,22 @@
 )
 
 // callsOf counts the calls of a store that fakeStore serves.
-type callsOf struct {
+type countingStore struct {
 	*fakeStore
 	catalog, endpoints atomic.Int64
 }
 
-func (c *callsOf) Declared(ctx context.Context) (Declared, error) {
+func (c *countingStore) Declared(ctx context.Context) (Declared, error) {
 	c.catalog.Add(1)
 	return c.fakeStore.Declared(ctx)
 }
 
-func (c *callsOf) Endpoints(ctx context.Context) ([]Entry, epoch.Version, error) {
+func (c *countingStore) Endpoints(ctx context.Context) ([]Entry, epoch.Version, error) {
 	c.endpoints.Add(1)
 	return c.fakeStore.Endpoints(ctx)
 }
 
-func (c *callsOf) EndpointsSince(ctx context.Context, version epoch.Version) ([]Entry, epoch.Version, error) {
+func (c *countingStore) EndpointsSince(ctx context.Context, version epoch.Version) ([]Entry, epoch.Version, error) {
 	c.endpoints.Add(1)
 	return c.fakeStore.EndpointsSince(ctx, version)
 }
@@ -40,7 +40,7 @@
 func TestFollowing(t *testing.T) {
 	type box struct {
 		*Registry
-		store                  *callsOf
+		store                  *countingStore
 		follows, lostElsewhere atomic.Bool
 		// lost has room for all that a case is told.
 		lost chan bool
@@ -61,7 +61,7 @@
 			So(b.store.catalog.Load()+b.store.endpoints.Load(), ShouldEqual, 0)
 		}},
 		{"a box that nobody tells anything looks for itself", false, func(b *box) {
-			time.Sleep(toldPatience + time.Second + 2*followLook)
+			time.Sleep(firstStartTimeout + time.Second + 2*followCheckInterval)
 			So(b.Catalog(), ShouldNotBeNil)
 			So(has(b.Registry, "a"), ShouldBeTrue)
 		}},
@@ -75,7 +75,7 @@
 			time.Sleep(time.Minute)
 			b.store.change(func(s *fakeState) { s.remove("a", 2) })
 			b.follows.Store(true)
-			time.Sleep(2 * followLook)
+			time.Sleep(2 * followCheckInterval)
 			So(has(b.Registry, "a"), ShouldBeFalse)
 			So(b.Knowledge().Known, ShouldEqual, 2)
 		}},
@@ -85,9 +85,9 @@
 			b.store.change(func(s *fakeState) { s.remove("a", 2) })
 			b.lostElsewhere.Store(true)
 			b.follows.Store(true)
-			time.Sleep(2 * followLook)
+			time.Sleep(2 * followCheckInterval)
 			So(has(b.Registry, "a"), ShouldBeTrue)
-			time.Sleep(2 * defaultLeavingTime)
+			time.Sleep(2 * defaultMaxLeavingDelay)
 			So(has(b.Registry, "a"), ShouldBeFalse)
 		}},
 		{"the others are told when its calls fail, and when they work again", false, func(b *box) {
@@ -108,14 +108,14 @@
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(c.name, t, func() {
-				b := &box{lost: make(chan bool, 100), store: &callsOf{fakeStore: &fakeStore{state: fakeState{config: []byte("version 1")}}}}
+				b := &box{lost: make(chan bool, 100), store: &countingStore{fakeStore: &fakeStore{state: fakeState{config: []byte("version 1")}}}}
 				b.store.change(func(s *fakeState) { s.put("a", 1) })
 				b.Registry = &Registry{
 					Store:         b.store,
 					Log:           zap.NewNop(),
 					Changed:       func() {},
 					FoundBoxes:    func([]Box) {},
-					Looked:        func() {},
+					Polled:        func() {},
 					Peers:         func() int { return 9 },
 					Follows:       func() bool { return b.follows.Load() },
 					LostElsewhere: func() bool { return b.lostElsewhere.Load() },
@@ -144,10 +144,10 @@
 func TestUnservedBoxLooks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A box that the others can not tell what it lacks looks at the store", t, func() {
-			store := &callsOf{fakeStore: &fakeStore{state: fakeState{config: []byte("version 1")}}}
+			store := &countingStore{fakeStore: &fakeStore{state: fakeState{config: []byte("version 1")}}}
 			r := &Registry{
 				Store: store, Log: zap.NewNop(), FirstStart: true,
-				Changed: func() {}, FoundBoxes: func([]Box) {}, Looked: func() {},
+				Changed: func() {}, FoundBoxes: func([]Box) {}, Polled: func() {},
 				Peers: func() int { return 4 }, Follows: func() bool { return false },
 				LostElsewhere: func() bool { return false },
 			}
@@ -161,7 +161,7 @@
 			// It started later, with a whole reading, and tells again and again.
 			later := route.Knowledge{Known: 3, Base: 3, Looks: 2}
 			for range 20 {
-				r.HeardKnowledge(later, 3)
+				r.ReceiveKnowledge(later, 3)
 				time.Sleep(500 * time.Millisecond)
 			}
 			found := has(r, "b")
--- a/pkg/registry/readings.go
+++ b/pkg/registry/full_read.go
@@ -9,22 +9,22 @@
 )
 
 // Reason is why all endpoints are read, and not what changed of them.
-type Reason string
+type FullReadReason string
 
 // The reasons.
 const (
 	// AtStart is for a box that knows nothing yet.
-	AtStart Reason = "start"
+	AtStart FullReadReason = "start"
 	// AfterFailure is for one whose reading before failed.
-	AfterFailure Reason = "failure"
+	AfterFailure FullReadReason = "failure"
 	// WithoutHistory is for one to which the store can not tell what changed.
-	WithoutHistory Reason = "history"
+	WithoutHistory FullReadReason = "history"
 	// Divergent is for one that knows as much as another box, and other endpoints.
-	Divergent Reason = "divergence"
+	Divergent FullReadReason = "divergence"
 )
 
 // noteWhole tells that a reading of all endpoints begins.
-func (r *Registry) noteWhole(since epoch.Version, failures int) {
+func (r *Registry) reportFullRead(since epoch.Version, failures int) {
 	why := AtStart
 	switch {
 	case failures > 0:
@@ -35,18 +35,18 @@
 		why = WithoutHistory
 	}
 	turn, ahead := 0, 0
-	if r.Turn != nil {
-		turn = r.Turn()
+	if r.StartRank != nil {
+		turn = r.StartRank()
 	}
-	if r.Ahead != nil {
-		ahead = r.Ahead()
+	if r.LiveAhead != nil {
+		ahead = r.LiveAhead()
 	}
 	r.Log.Info("reading all endpoints",
 		zap.String("Why", string(why)),
 		zap.Stringer("Since", since),
 		zap.Int("Turn", turn),
 		zap.Int("Ahead", ahead))
-	if r.ReadingWhole != nil {
-		r.ReadingWhole(why)
+	if r.FullReadStarted != nil {
+		r.FullReadStarted(why)
 	}
 }
--- a/pkg/registry/lapses.go
+++ b/pkg/registry/grace.go
@@ -14,36 +14,36 @@
 	// outage is still used; the users' pages say that a live server is back within
 	// two seconds. It ends lapseReserve before LeavingTime is over, as the entry may
 	// be that of an endpoint that has left.
-	lapseGrace   = 2200 * time.Millisecond
-	lapseReserve = 200 * time.Millisecond
+	gracePeriod = 2200 * time.Millisecond
+	graceMargin = 200 * time.Millisecond
 	// lapseLook is the time between two looks whether that time is over.
-	lapseLook = 100 * time.Millisecond
+	expiryCheckInterval = 100 * time.Millisecond
 	// unwellFor is how long after a failed call a lost entry is put down to the
 	// outage: one call's time-out and the longest wait after a failure.
-	unwellFor = 2 * time.Second
+	outageWindow = 2 * time.Second
 )
 
 // lapse takes the word that an entry was removed in an outage, and its endpoint is still used for a
 // while. What is known to be gone stays so.
-func (r *Registry) lapse(known, entry Entry, from string, now time.Time) bool {
+func (r *Registry) startGrace(known, entry Entry, from string, now time.Time) bool {
 	if known.Gone {
-		r.bury(known, entry.Version)
+		r.markGone(known, entry.Version)
 		return false
 	}
 	if known.ID != "" {
 		// The teller may know an earlier account of it.
-		until := entry.LapsesAt
-		if !known.LapsesAt.IsZero() && known.LapsesAt.Before(until) {
-			until = known.LapsesAt
+		until := entry.GraceEnd
+		if !known.GraceEnd.IsZero() && known.GraceEnd.Before(until) {
+			until = known.GraceEnd
 		}
 		version := entry.Version
 		entry = known
-		entry.Version, entry.LapsesAt = version, until
+		entry.Version, entry.GraceEnd = version, until
 	}
-	if r.lapsing == nil {
-		r.lapsing = map[string]struct{}{}
+	if r.inGrace == nil {
+		r.inGrace = map[string]struct{}{}
 	}
-	r.lapsing[entry.ID] = struct{}{}
+	r.inGrace[entry.ID] = struct{}{}
 	r.put(entry)
 	if r.quiet {
 		return known.ID == ""
@@ -51,51 +51,51 @@
 	r.Log.Info("entry lapsed during an outage, endpoint still used",
 		zap.String("Endpoint", entry.ID),
 		zap.Stringer("Version", entry.Version),
-		zap.Duration("Outage", r.returnedAt.Sub(r.unwellSince)),
-		zap.Duration("For", entry.LapsesAt.Sub(now)),
+		zap.Duration("Outage", r.recoveredAt.Sub(r.outageSince)),
+		zap.Duration("For", entry.GraceEnd.Sub(now)),
 		zap.String("From", from))
 	return known.ID == ""
 }
 
 // endLapses drops endpoints whose entries did not come back. Each box does so by itself, so that
 // nothing has to be told then. The lock is held.
-func (r *Registry) endLapses(now time.Time) (changed bool) {
-	for id := range r.lapsing {
+func (r *Registry) endGracePeriods(now time.Time) (changed bool) {
+	for id := range r.inGrace {
 		entry, _ := r.entries.find(id)
-		if now.Before(entry.LapsesAt) {
+		if now.Before(entry.GraceEnd) {
 			continue
 		}
-		r.bury(entry, entry.Version)
+		r.markGone(entry, entry.Version)
 		changed = true
 		r.Log.Info("endpoint gone: its entry did not come back", zap.String("Endpoint", id))
 	}
 	return changed
 }
 
-func (r *Registry) lapsePending() bool {
+func (r *Registry) hasGracePeriods() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.lapsing) > 0
+	return len(r.inGrace) > 0
 }
 
 // endpointsRead notes that some box reads the endpoints.
-func (r *Registry) endpointsRead(now time.Time) {
+func (r *Registry) recordEndpointsRead(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.returnedAt.After(r.unwellAt) {
-		r.returnedAt, r.unwellSince = now, r.lookedAt
+	if !r.recoveredAt.After(r.failedAt) {
+		r.recoveredAt, r.outageSince = now, r.lastPollAt
 	}
-	r.lookedBefore, r.lookedAt = r.lookedAt, now
+	r.previousPollAt, r.lastPollAt = r.lastPollAt, now
 }
 
 // followLapses drops in time what did not come back or was not written again, and counts again
 // what was held.
-func (r *Registry) followLapses(ctx context.Context) error {
-	for interval.Wait(ctx, lapseLook) == nil {
-		if r.lapsePending() || r.holdPending() {
+func (r *Registry) runExpiry(ctx context.Context) error {
+	for interval.Wait(ctx, expiryCheckInterval) == nil {
+		if r.hasGracePeriods() || r.hasHeld() {
 			r.update(time.Now(), func() bool { return false })
 		}
-		if r.endKeptOrders(time.Now()) {
+		if r.expireKeptOrders(time.Now()) {
 			r.Changed()
 		}
 	}
@@ -104,19 +104,19 @@
 
 // presentUntil is how long an endpoint may be used that was listed at a look, where its entry may
 // have gone right after that because it leaves.
-func (r *Registry) presentUntil(look time.Time) time.Time {
-	return look.Add(r.leavingTime() - lapseReserve)
+func (r *Registry) usableUntil(look time.Time) time.Time {
+	return look.Add(r.maxLeavingDelay() - graceMargin)
 }
 
 // lapseEnd is until when an endpoint is used whose entry went, as this box reads now. Where nobody
 // had looked for as long as a departure may take to be known, the outage may be why it went, and a
 // server that lives writes its entry again. The lock is held.
-func (r *Registry) lapseEnd() time.Time {
-	end := r.presentUntil(r.lookedBefore)
-	if r.returnedAt.Sub(r.unwellSince) < r.leavingTime() {
+func (r *Registry) graceEnd() time.Time {
+	end := r.usableUntil(r.previousPollAt)
+	if r.recoveredAt.Sub(r.outageSince) < r.maxLeavingDelay() {
 		return end
 	}
-	if back := r.returnedAt.Add(min(lapseGrace, r.leavingTime()-lapseReserve)); back.After(end) {
+	if back := r.recoveredAt.Add(min(gracePeriod, r.maxLeavingDelay()-graceMargin)); back.After(end) {
 		end = back
 	}
 	return end
@@ -124,21 +124,21 @@
 
 // toldLapseEnd is the same for what another box tells now: it may have been without the store
 // alone. The lock is held.
-func (r *Registry) toldLapseEnd(told, now time.Time) time.Time {
-	own := r.presentUntil(r.lookedAt)
-	if now.Sub(r.lookedAt) >= r.leavingTime() || told.Before(own) {
+func (r *Registry) reportedGraceEnd(told, now time.Time) time.Time {
+	own := r.usableUntil(r.lastPollAt)
+	if now.Sub(r.lastPollAt) >= r.maxLeavingDelay() || told.Before(own) {
 		return told
 	}
 	return own
 }
 
 // endpointsFailed notes an outage. A store that lost its history is well.
-func (r *Registry) endpointsFailed(err error) {
+func (r *Registry) recordEndpointsFailure(err error) {
 	if isHistoryLost(err) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unwellAt = time.Now()
-	r.divergence.postpone(r.unwellAt)
+	r.failedAt = time.Now()
+	r.divergence.postpone(r.failedAt)
 }
--- a/pkg/registry/lapses_test.go
+++ b/pkg/registry/grace_test.go
@@ -14,17 +14,17 @@
 func TestLapseOfSecondRemovalIsTold(t *testing.T) {
 	Convey("A box that knew the entry between two removals is told that it is gone", t, func() {
 		r, other := newRegistry(), newRegistry()
-		now := departed
-		r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, now)
-		r.unwellAt, r.returnedAt = now, now
+		now := baseTime
+		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, now)
+		r.failedAt, r.recoveredAt = now, now
 		gone := Entry{Endpoint: endpointOf("a"), Version: 5, Gone: true}
-		r.takeRead([]Entry{gone}, 5, false, now)
-		other.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 6}}, 6, true, now)
+		r.applyReadNow([]Entry{gone}, 5, false, now)
+		other.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 6}}, 6, true, now)
 		gone.Version = 7
-		r.takeRead([]Entry{gone}, 7, false, now)
+		r.applyReadNow([]Entry{gone}, 7, false, now)
 		r.update(now.Add(time.Minute), func() bool { return false })
 		So(has(r, "a"), ShouldBeFalse)
-		entries, then, _ := r.Since(other.Knowledge().Known)
+		entries, then, _ := r.EntriesSince(other.Knowledge().Known)
 		other.OfferEntries(valuesOf(entries), then, "r")
 		So(has(other, "a"), ShouldBeFalse)
 	})
@@ -34,13 +34,13 @@
 	Convey("A box that heard more while an entry lapses tells both, and each box drops it in time", t, func() {
 		r, informed, late := newRegistry(), newRegistry(), newRegistry()
 		now := time.Now()
-		r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, now)
-		r.unwellAt, r.returnedAt = now, now
-		r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 5, Gone: true}}, 5, false, now)
-		informed.takeRead(nil, 9, true, now)
+		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, now)
+		r.failedAt, r.recoveredAt = now, now
+		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 5, Gone: true}}, 5, false, now)
+		informed.applyReadNow(nil, 9, true, now)
 		informed.knowledge.Base = 1
-		(&reader{Registry: r}).hear(&reader{Registry: informed})
-		(&reader{Registry: late}).hear(&reader{Registry: r})
+		(&testBox{Registry: r}).receive(&testBox{Registry: informed})
+		(&testBox{Registry: late}).receive(&testBox{Registry: r})
 		So(late.Knowledge().Known, ShouldEqual, 9)
 		So(has(late, "a"), ShouldBeTrue)
 		for _, box := range []*Registry{r, late} {
@@ -55,12 +55,12 @@
 	Convey("What is known of the endpoint here stays, with the earlier of two ends", t, func() {
 		r := newRegistry()
 		now := time.Now()
-		r.takeRead([]Entry{bornAt("a", 5, 8)}, 5, true, now)
+		r.applyReadNow([]Entry{bornAt("a", 5, 8)}, 5, true, now)
 		told := bornAt("a", 6, 7)
-		told.LapsesAt = now.Add(time.Second)
+		told.GraceEnd = now.Add(time.Second)
 		r.OfferEntries([]Entry{told}, route.Knowledge{Known: 6, Base: 1}, "peer")
 		So(endpointIn(r, "a").Born, ShouldEqual, 8)
-		told.Version, told.LapsesAt = 9, now.Add(time.Minute)
+		told.Version, told.GraceEnd = 9, now.Add(time.Minute)
 		r.OfferEntries([]Entry{told}, route.Knowledge{Known: 9, Base: 1}, "peer")
 		r.update(now.Add(2*time.Second), func() bool { return false })
 		So(has(r, "a"), ShouldBeFalse)
@@ -77,13 +77,13 @@
 		for i := range 6 {
 			entries = append(entries, Entry{Endpoint: endpointOf(fmt.Sprint(i)), Version: epoch.Version(i + 1)})
 		}
-		r.takeRead(entries, 6, true, now)
-		(&reader{Registry: other}).hear(&reader{Registry: r})
+		r.applyReadNow(entries, 6, true, now)
+		(&testBox{Registry: other}).receive(&testBox{Registry: r})
 		for i := range 5 {
 			now = now.Add(time.Second)
-			r.endpointsFailed(errStoreDown)
-			r.unwellAt = now
-			r.endpointsRead(now.Add(time.Millisecond))
+			r.recordEndpointsFailure(errStoreDown)
+			r.failedAt = now
+			r.recordEndpointsRead(now.Add(time.Millisecond))
 			version := epoch.Version(10 + i)
 			changed := []Entry{{Endpoint: endpointOf(fmt.Sprint(i)), Version: version, Gone: true}}
 			if i == 2 {
@@ -91,8 +91,8 @@
 				leaves.Leaving = true
 				changed = append(changed, leaves)
 			}
-			r.takeRead(changed, version, false, now.Add(time.Millisecond))
-			(&reader{Registry: other}).hear(&reader{Registry: r})
+			r.applyReadNow(changed, version, false, now.Add(time.Millisecond))
+			(&testBox{Registry: other}).receive(&testBox{Registry: r})
 			So(endpointIn(other, "5").Leaving, ShouldEqual, i >= 2)
 			So(other.Knowledge().Known, ShouldEqual, version)
 		}
@@ -106,13 +106,13 @@
 		for _, pause := range []time.Duration{100 * time.Millisecond, time.Second, 1800 * time.Millisecond} {
 			r := newRegistry()
 			looked := time.Now()
-			r.endpointsRead(looked)
-			r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, looked)
-			r.unwellAt = looked.Add(pause - 50*time.Millisecond)
+			r.recordEndpointsRead(looked)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, looked)
+			r.failedAt = looked.Add(pause - 50*time.Millisecond)
 			back := looked.Add(pause)
-			r.endpointsRead(back)
-			r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 2, Gone: true}}, 2, false, back)
-			r.update(looked.Add(defaultLeavingTime), func() bool { return false })
+			r.recordEndpointsRead(back)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 2, Gone: true}}, 2, false, back)
+			r.update(looked.Add(defaultMaxLeavingDelay), func() bool { return false })
 			So(has(r, "a"), ShouldBeFalse)
 		}
 	})
@@ -121,8 +121,8 @@
 func TestReplacedAccountIsPassedOver(t *testing.T) {
 	Convey("An account that comes late from a box does not bring back what has ended since", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 20, true, departed)
-		r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 30, true, departed)
+		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 20, true, baseTime)
+		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 30, true, baseTime)
 		r.OfferEntries([]Entry{{Endpoint: endpointOf("b"), Version: 22}}, route.Knowledge{Known: 23, Base: 1}, "peer")
 		So(has(r, "a"), ShouldBeTrue)
 		So(has(r, "b"), ShouldBeFalse)
--- a/pkg/registry/knowledge_test.go
+++ b/pkg/registry/knowledge_test.go
@@ -52,7 +52,7 @@
 }
 
 // whole leaves out what is gone, as the store does.
-func (s *versionedStore) whole() (present []Entry) {
+func (s *versionedStore) present() (present []Entry) {
 	for _, entry := range s.entries {
 		if !entry.Gone {
 			present = append(present, entry)
@@ -63,31 +63,31 @@
 
 func (s *versionedStore) endpoints() map[string]route.Endpoint {
 	endpoints := map[string]route.Endpoint{}
-	for _, entry := range s.whole() {
+	for _, entry := range s.present() {
 		endpoints[entry.ID] = entry.Endpoint
 	}
 	return endpoints
 }
 
 // reader is a box that looks at the store and tells others.
-type reader struct {
+type testBox struct {
 	*Registry
 	since epoch.Version
 }
 
-func (r *reader) look(store *versionedStore, whole bool) {
+func (r *testBox) poll(store *versionedStore, whole bool) {
 	entries := store.since(r.since)
 	if whole || r.since == 0 {
-		entries = store.whole()
+		entries = store.present()
 	}
-	r.takeRead(entries, store.version, whole || r.since == 0, time.Now())
+	r.applyReadNow(entries, store.version, whole || r.since == 0, time.Now())
 	r.since = store.version
 }
 
 // hear takes what another box tells, as boxes do: what changed is asked for.
-func (r *reader) hear(other *reader) {
-	if _, ask := r.HeardKnowledge(other.Knowledge(), other.Newest()); ask {
-		entries, then, _ := other.Since(r.Position())
+func (r *testBox) receive(other *testBox) {
+	if _, ask := r.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); ask {
+		entries, then, _ := other.EntriesSince(r.Position())
 		r.OfferEntries(valuesOf(entries), then, "other")
 	}
 }
@@ -103,27 +103,27 @@
 func TestPages(t *testing.T) {
 	Convey("A box that took all parts has the table of the one that told them", t, func() {
 		newRegistry := func() *Registry {
-			return &Registry{Log: zap.NewNop(), Changed: func() {}, Looked: func() {}}
+			return &Registry{Log: zap.NewNop(), Changed: func() {}, Polled: func() {}}
 		}
 		teller, taker := newRegistry(), newRegistry()
-		const count = 5*pageEntries/2 + 3
+		const count = 5*maxPageEntries/2 + 3
 		var entries []Entry
 		for i := range count {
 			// Some share a version, as rows written at once do.
 			entries = append(entries, Entry{Endpoint: endpointOf(fmt.Sprintf("e-%d", i)), Version: epoch.Version(1 + i/3)})
 		}
-		teller.takeRead(entries, count, true, time.Now())
+		teller.applyReadNow(entries, count, true, time.Now())
 		since, parts := epoch.Version(0), 0
 		var all []Entry
 		then := route.Knowledge{}
 		for more := true; more; parts++ {
-			told, known, rest := teller.Since(since)
+			told, known, rest := teller.EntriesSince(since)
 			for _, entry := range told {
 				since = max(since, entry.Version)
 			}
 			all, then = append(all, valuesOf(told)...), known
 			if more = rest; more {
-				teller.takeRead([]Entry{{Endpoint: endpointOf("e-1"), Version: epoch.Version(count + parts + 1)}}, epoch.Version(count+parts+1), false, time.Now())
+				teller.applyReadNow([]Entry{{Endpoint: endpointOf("e-1"), Version: epoch.Version(count + parts + 1)}}, epoch.Version(count+parts+1), false, time.Now())
 			}
 		}
 		taker.OfferEntries(all, then, "teller")
@@ -139,9 +139,9 @@
 func TestDifferencesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &versionedStore{entries: map[string]Entry{}}
-		var boxes []*reader
+		var boxes []*testBox
 		for range 4 {
-			boxes = append(boxes, &reader{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}})
+			boxes = append(boxes, &testBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}})
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprintf("engine-%d", rapid.IntRange(0, 4).Draw(t, "engine"))
@@ -157,9 +157,9 @@
 				// A sign of life, or something that others wrote.
 				store.write(id, func(*Entry) {})
 			case 4:
-				box.look(store, rapid.Bool().Draw(t, "whole"))
+				box.poll(store, rapid.Bool().Draw(t, "whole"))
 			default:
-				box.hear(boxes[rapid.IntRange(0, 3).Draw(t, "from")])
+				box.receive(boxes[rapid.IntRange(0, 3).Draw(t, "from")])
 			}
 			for i, box := range boxes {
 				if box.Knowledge().Known != store.version || store.version == 0 {
@@ -188,10 +188,10 @@
 			store.change(func(s *fakeState) { s.put("a", 1) })
 			follower, stop := start(t, store, func(*Registry) {})
 			defer stop()
-			other := &reader{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}}
+			other := &testBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}}
 			pass := func(length time.Duration) {
 				for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-					other.hear(&reader{Registry: follower})
+					other.receive(&testBox{Registry: follower})
 					other.update(time.Now(), func() bool { return false })
 				}
 			}
@@ -205,12 +205,12 @@
 				s.remove("a", 2)
 				s.failing = false
 			})
-			pass(lapseGrace / 2)
+			pass(gracePeriod / 2)
 			if !has(other.Registry, "a") {
 				t.Error("the endpoint was dropped though it may come back")
 			}
 			// The longest wait after a failure, the grace, and a look whether it is over.
-			pass(retryMost*5/4 + defaultLeavingTime - lapseReserve + 2*lapseLook - lapseGrace/2)
+			pass(maxRetryDelay*5/4 + defaultMaxLeavingDelay - graceMargin + 2*expiryCheckInterval - gracePeriod/2)
 			if has(other.Registry, "a") {
 				t.Error("the other box still uses the endpoint")
 			}
@@ -224,25 +224,25 @@
 	Convey("A box that the teller can no longer serve looks for itself", t, func() {
 		store := &versionedStore{entries: map[string]Entry{}}
 		store.write("left", func(e *Entry) { e.Endpoint = endpointOf("left") })
-		box, teller := &reader{Registry: newRegistry()}, &reader{Registry: newRegistry()}
-		box.look(store, true)
-		teller.look(store, true)
+		box, teller := &testBox{Registry: newRegistry()}, &testBox{Registry: newRegistry()}
+		box.poll(store, true)
+		teller.poll(store, true)
 		store.write("joined", func(e *Entry) { e.Endpoint = endpointOf("joined") })
-		teller.look(store, false)
-		_, ask := box.HeardKnowledge(teller.Knowledge(), teller.Newest())
+		teller.poll(store, false)
+		_, ask := box.ReceiveKnowledge(teller.Knowledge(), teller.NewestVersion())
 		So(ask, ShouldBeTrue)
 
 		store.write("left", func(e *Entry) { e.Gone = true })
-		teller = &reader{Registry: newRegistry()}
-		teller.look(store, true)
-		entries, then, _ := teller.Since(box.Position())
+		teller = &testBox{Registry: newRegistry()}
+		teller.poll(store, true)
+		entries, then, _ := teller.EntriesSince(box.Position())
 		box.OfferEntries(valuesOf(entries), then, "teller")
 		So(has(box.Registry, "joined"), ShouldBeTrue)
 		So(box.Knowledge().Known, ShouldBeLessThan, store.version)
-		So(box.isUnserved(time.Now().Add(defaultLeavingTime)), ShouldBeTrue)
+		So(box.isMissingUpdates(time.Now().Add(defaultMaxLeavingDelay)), ShouldBeTrue)
 
-		box.look(store, false)
+		box.poll(store, false)
 		So(has(box.Registry, "left"), ShouldBeFalse)
-		So(box.isUnserved(time.Now().Add(time.Minute)), ShouldBeFalse)
+		So(box.isMissingUpdates(time.Now().Add(time.Minute)), ShouldBeFalse)
 	})
 }
--- a/pkg/registry/orders.go
+++ b/pkg/registry/orders.go
@@ -21,14 +21,14 @@
 	rollouts map[string]rollout.Order
 	// bad are the orders that could not be read, by what they are for, so that each is told
 	// of once.
-	bad map[string]epoch.Version
+	rejected map[string]epoch.Version
 }
 
 // read takes what the operator has written, or changed. It reports whether orders may have
 // changed: after a whole reading, those that are missing were withdrawn, and others may
 // hold older ones.
-func (o *orderReader) read(declared Declared, whole bool) (changed bool, now route.Orders) {
-	if whole || o.evacuated == nil {
+func (o *orderReader) apply(declared Declared, full bool) (changed bool, now route.Orders) {
+	if full || o.evacuated == nil {
 		o.evacuated = map[string]epoch.Version{}
 		o.rollouts = map[string]rollout.Order{}
 	}
@@ -36,7 +36,7 @@
 		delete(o.evacuated, order.Zone)
 		switch {
 		case order.Problem != nil:
-			o.note("zone "+order.Zone, order.Version, order.Problem)
+			o.reject("zone "+order.Zone, order.Version, order.Problem)
 		case !order.Withdrawn:
 			o.evacuated[order.Zone] = order.Version
 		}
@@ -45,7 +45,7 @@
 		delete(o.rollouts, order.Service)
 		switch {
 		case order.Problem != nil:
-			o.note("roll-out of "+order.Service, order.Version, order.Problem)
+			o.reject("roll-out of "+order.Service, order.Version, order.Problem)
 		case !order.Withdrawn:
 			o.rollouts[order.Service] = order.Order
 		}
@@ -54,18 +54,18 @@
 	for _, service := range slices.Sorted(maps.Keys(o.rollouts)) {
 		now.Rollouts = append(now.Rollouts, o.rollouts[service])
 	}
-	return whole || len(declared.Evacuations) > 0 || len(declared.Rollouts) > 0, now
+	return full || len(declared.Evacuations) > 0 || len(declared.Rollouts) > 0, now
 }
 
 // note tells of an order that can not be read, once for each change of it.
-func (o *orderReader) note(what string, version epoch.Version, problem error) {
-	if o.bad == nil {
-		o.bad = map[string]epoch.Version{}
+func (o *orderReader) reject(what string, version epoch.Version, problem error) {
+	if o.rejected == nil {
+		o.rejected = map[string]epoch.Version{}
 	}
-	if o.bad[what] == version {
+	if o.rejected[what] == version {
 		return
 	}
-	o.bad[what] = version
+	o.rejected[what] = version
 	o.log.Error("order not taken", zap.String("Order", what), zap.Stringer("Version", version), zap.Error(problem))
 }
 
@@ -88,9 +88,9 @@
 		r.mu.Unlock()
 		return
 	}
-	keepSeen(&orders, before)
+	preserveSeenAt(&orders, before)
 	if before != nil {
-		orders.Keep(before, time.Now(), restoredHold)
+		orders.Keep(before, time.Now(), restoreHoldDelay)
 	}
 	r.setOrders(&orders, from)
 	r.mu.Unlock()
@@ -109,7 +109,7 @@
 		return
 	}
 	if orders.EvacuatesOthers(before) && r.directory.Load() != nil {
-		r.entries.each(func(entry *Entry) { r.touched = append(r.touched, entry.ID) })
+		r.entries.each(func(entry *Entry) { r.changedIDs = append(r.changedIDs, entry.ID) })
 		r.publish()
 	}
 	r.Log.Info("orders in force",
@@ -123,7 +123,7 @@
 
 // endKeptOrders drops those that were not written again in time. It reports whether there were
 // any.
-func (r *Registry) endKeptOrders(now time.Time) bool {
+func (r *Registry) expireKeptOrders(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	orders := r.orders.Load()
@@ -135,7 +135,7 @@
 }
 
 // keepSeen keeps since when roll-outs are known that were so before.
-func keepSeen(orders, before *route.Orders) {
+func preserveSeenAt(orders, before *route.Orders) {
 	now := time.Now()
 	for i := range orders.Rollouts {
 		order := &orders.Rollouts[i]
--- a/pkg/registry/outages_test.go
+++ b/pkg/registry/outages_test.go
@@ -26,11 +26,11 @@
 	// outageStep is the time between two moments of a history.
 	outageStep = 100 * time.Millisecond
 	// outageContact is how long a box has to have been without trouble to be held to account.
-	outageContact = 3 * time.Second
+	minStableTime = 3 * time.Second
 	// outageHops is what telling takes: two answers of another box and the step after each.
-	outageHops = 2 * (outageFetch*time.Millisecond + outageStep/2)
+	maxExchangeDelay = 2 * (maxFetchMilliseconds*time.Millisecond + outageStep/2)
 	// outageFetch is the longest time of such an answer, in milliseconds.
-	outageFetch = 250
+	maxFetchMilliseconds = 250
 )
 
 var errOutage = errors.New("the store is down")
@@ -42,15 +42,15 @@
 	// downUntil is when it starts again, and refusedUntil until when the store turns it away.
 	downUntil, refusedUntil time.Time
 	// troubleAt is when it last had trouble of its own.
-	troubleAt time.Time
-	nextLook  time.Time
-	failures  int
-	lost      bool
-	followed  bool
-	heard     int64
+	troubleAt  time.Time
+	nextPollAt time.Time
+	failures   int
+	lost       bool
+	followed   bool
+	seenPolls  int64
 	// whole marks that the store forgot the history.
-	whole bool
-	due   []dueFetch
+	fullRead bool
+	fetches  []dueFetch
 }
 
 type dueFetch struct {
@@ -70,9 +70,9 @@
 	// downUntil is when the store is back, and troubleAt when it was last away.
 	downUntil, troubleAt time.Time
 	// later is what servers write later, and next numbers them.
-	later []dueWrite
-	next  int
-	began time.Time
+	dueWrites []dueWrite
+	next      int
+	began     time.Time
 	// log tells the history, and broken what was found first.
 	log    []string
 	broken string
@@ -86,9 +86,9 @@
 	return time.Duration(f.draw(least, most)) * time.Millisecond
 }
 
-func (f *outageFleet) down() bool { return time.Now().Before(f.downUntil) }
+func (f *outageFleet) isDown() bool { return time.Now().Before(f.downUntil) }
 
-func (f *outageFleet) note(format string, values ...any) {
+func (f *outageFleet) record(format string, values ...any) {
 	f.log = append(f.log, fmt.Sprintf("%v ", time.Since(f.began))+fmt.Sprintf(format, values...))
 }
 
@@ -99,17 +99,17 @@
 }
 
 func (f *outageFleet) begin(i int) {
-	f.note("box %d begins", i)
+	f.record("box %d begins", i)
 	f.boxes[i] = &outageBox{
-		Registry:  &Registry{Log: zap.NewNop(), Changed: func() {}},
-		up:        true,
-		troubleAt: time.Now(),
-		nextLook:  time.Now(),
+		Registry:   &Registry{Log: zap.NewNop(), Changed: func() {}},
+		up:         true,
+		troubleAt:  time.Now(),
+		nextPollAt: time.Now(),
 	}
 }
 
 func (f *outageFleet) fails(i int) bool {
-	return f.down() || time.Now().Before(f.boxes[i].refusedUntil)
+	return f.isDown() || time.Now().Before(f.boxes[i].refusedUntil)
 }
 
 // follows is as the view of the fleet has it.
@@ -136,87 +136,87 @@
 	return false
 }
 
-func (f *outageFleet) look(i int) {
+func (f *outageFleet) poll(i int) {
 	box, now := f.boxes[i], time.Now()
-	if !f.follows(i) && box.Directory() != nil && !box.lacks(now) {
+	if !f.follows(i) && box.Directory() != nil && !box.needsOwnRead(now) {
 		box.followed = false
 		return
 	}
 	if !box.followed && box.Directory() != nil && f.follows(i) && f.lostElsewhere(i) {
-		box.endpointsFailed(errOutage)
+		box.recordEndpointsFailure(errOutage)
 	}
 	box.followed = f.follows(i)
-	if box.heardLooks.Load() != box.heard {
-		box.heard = box.heardLooks.Load()
-		box.nextLook = now.Add(f.milliseconds(400, 1200))
+	if box.peerPolls.Load() != box.seenPolls {
+		box.seenPolls = box.peerPolls.Load()
+		box.nextPollAt = now.Add(f.milliseconds(400, 1200))
 	}
-	if now.Before(box.nextLook) {
+	if now.Before(box.nextPollAt) {
 		return
 	}
 	if f.fails(i) {
-		f.note("box %d look fails", i)
-		box.endpointsFailed(errOutage)
+		f.record("box %d look fails", i)
+		box.recordEndpointsFailure(errOutage)
 		box.lost = true
-		box.nextLook = now.Add(min(retryLeast<<min(box.failures, 6), retryMost))
+		box.nextPollAt = now.Add(min(minRetryDelay<<min(box.failures, 6), maxRetryDelay))
 		box.failures++
 		return
 	}
 	box.lost, box.failures = false, 0
-	box.endpointsRead(now)
+	box.recordEndpointsRead(now)
 	since := box.Position()
-	if since == 0 || box.whole {
-		box.takeRead(f.store.whole(), f.store.version, true, now)
+	if since == 0 || box.fullRead {
+		box.applyReadNow(f.store.present(), f.store.version, true, now)
 	} else {
-		box.takeRead(f.entriesSince(since), f.store.version, false, now)
+		box.applyReadNow(f.entriesSince(since), f.store.version, false, now)
 	}
-	f.note("box %d looked since %v to %v whole %v lapsed %v known %v", i, since, f.store.version, box.whole, len(box.lapsing), box.Knowledge())
-	box.whole = false
-	box.nextLook = now.Add(f.milliseconds(400, 1200))
-	box.heard = box.heardLooks.Load()
+	f.record("box %d looked since %v to %v whole %v lapsed %v known %v", i, since, f.store.version, box.fullRead, len(box.inGrace), box.Knowledge())
+	box.fullRead = false
+	box.nextPollAt = now.Add(f.milliseconds(400, 1200))
+	box.seenPolls = box.peerPolls.Load()
 }
 
-func (f *outageFleet) hear(i, from int) {
+func (f *outageFleet) receive(i, from int) {
 	box, other := f.boxes[i], f.boxes[from]
 	if i == from || !box.up || !other.up {
 		return
 	}
-	lacked := !box.unserved.due.IsZero()
-	_, ask := box.HeardKnowledge(other.Knowledge(), other.Newest())
-	if !lacked && !box.unserved.due.IsZero() {
-		box.unserved.due = time.Now().Add(time.Duration((unservedLeast + unservedSpread*f.Float64()) * float64(defaultLeavingTime)))
+	lacked := !box.missing.due.IsZero()
+	_, ask := box.ReceiveKnowledge(other.Knowledge(), other.NewestVersion())
+	if !lacked && !box.missing.due.IsZero() {
+		box.missing.due = time.Now().Add(time.Duration((minOwnReadFraction + ownReadJitterFraction*f.Float64()) * float64(defaultMaxLeavingDelay)))
 	}
-	if ask && len(box.due) == 0 {
-		box.due = append(box.due, dueFetch{at: time.Now().Add(f.milliseconds(0, outageFetch)), from: from})
+	if ask && len(box.fetches) == 0 {
+		box.fetches = append(box.fetches, dueFetch{at: time.Now().Add(f.milliseconds(0, maxFetchMilliseconds)), from: from})
 	}
 }
 
 func (f *outageFleet) fetch(i int) {
 	box := f.boxes[i]
-	if len(box.due) == 0 || time.Now().Before(box.due[0].at) {
+	if len(box.fetches) == 0 || time.Now().Before(box.fetches[0].at) {
 		return
 	}
-	from := box.due[0].from
-	box.due = nil
+	from := box.fetches[0].from
+	box.fetches = nil
 	if other := f.boxes[from]; other.up {
-		entries, then, _ := other.Since(box.Position())
+		entries, then, _ := other.EntriesSince(box.Position())
 		before := box.Knowledge()
 		box.OfferEntries(valuesOf(entries), then, "other")
-		f.note("box %d fetched from %d %d entries %v: %v to %v pos %v", i, from, len(entries), then, before, box.Knowledge(), box.Position())
+		f.record("box %d fetched from %d %d entries %v: %v to %v pos %v", i, from, len(entries), then, before, box.Knowledge(), box.Position())
 	}
 }
 
-func (f *outageFleet) pass(length time.Duration) {
+func (f *outageFleet) advance(length time.Duration) {
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		time.Sleep(outageStep)
 		now := time.Now()
-		if f.down() {
+		if f.isDown() {
 			f.troubleAt = now
 		}
-		due := f.later
-		f.later = nil
+		due := f.dueWrites
+		f.dueWrites = nil
 		for _, one := range due {
 			if now.Before(one.at) {
-				f.later = append(f.later, one)
+				f.dueWrites = append(f.dueWrites, one)
 				continue
 			}
 			one.write()
@@ -231,13 +231,13 @@
 			if now.Before(box.refusedUntil) {
 				box.troubleAt = now
 			}
-			f.look(i)
+			f.poll(i)
 			f.fetch(i)
 			box.update(now, func() bool { return false })
 		}
 		for i := range f.boxes {
 			for _, hop := range []int{1, 2, 5, 6} {
-				f.hear(i, (i+hop)%len(f.boxes))
+				f.receive(i, (i+hop)%len(f.boxes))
 			}
 		}
 		f.check()
@@ -260,13 +260,13 @@
 				continue
 			}
 			from := left
-			if stable := f.troubleAt.Add(outageContact); stable.After(from) {
+			if stable := f.troubleAt.Add(minStableTime); stable.After(from) {
 				from = stable
 			}
-			if touch := box.troubleAt.Add(outageContact); touch.After(from) {
+			if touch := box.troubleAt.Add(minStableTime); touch.After(from) {
 				from = touch
 			}
-			if late := now.Sub(from); late > defaultLeavingTime+outageHops {
+			if late := now.Sub(from); late > defaultMaxLeavingDelay+maxExchangeDelay {
 				f.fail("box %d sends to %s, %v after it left, %v after trouble", i, endpoint.ID, now.Sub(left), late)
 			}
 		}
@@ -290,29 +290,29 @@
 	delete(f.live, id)
 	write := func() {
 		f.leftAt[id] = time.Now()
-		f.note("%s leaves, silent %v version %v", id, silent, f.store.version+1)
+		f.record("%s leaves, silent %v version %v", id, silent, f.store.version+1)
 		f.store.write(id, func(e *Entry) { e.Gone, e.Endpoint = silent, server; e.Leaving = !silent })
 	}
-	if f.down() && !silent {
-		f.later = append(f.later, dueWrite{at: f.downUntil, write: write})
+	if f.isDown() && !silent {
+		f.dueWrites = append(f.dueWrites, dueWrite{at: f.downUntil, write: write})
 		return
 	}
 	write()
 	if !silent {
-		f.later = append(f.later, dueWrite{at: time.Now().Add(f.milliseconds(2500, 9000)), write: func() {
+		f.dueWrites = append(f.dueWrites, dueWrite{at: time.Now().Add(f.milliseconds(2500, 9000)), write: func() {
 			f.store.write(id, func(e *Entry) { e.Gone = true })
 		}})
 	}
 }
 
 // lapse has the row of a server that lives go during an outage.
-func (f *outageFleet) lapse() {
-	if len(f.live) == 0 || !f.down() {
+func (f *outageFleet) removeLive() {
+	if len(f.live) == 0 || !f.isDown() {
 		return
 	}
 	id := f.sample(slices.Sorted(maps.Keys(f.live)))
 	f.store.write(id, func(e *Entry) { e.Gone = true })
-	f.later = append(f.later, dueWrite{at: f.downUntil.Add(f.milliseconds(0, 2000)), write: func() {
+	f.dueWrites = append(f.dueWrites, dueWrite{at: f.downUntil.Add(f.milliseconds(0, 2000)), write: func() {
 		if server, lives := f.live[id]; lives {
 			f.store.write(id, func(e *Entry) { e.Gone, e.Endpoint = false, server })
 		}
@@ -321,7 +321,7 @@
 
 func (f *outageFleet) kill(i int) {
 	if f.boxes[i].up {
-		f.note("box %d killed", i)
+		f.record("box %d killed", i)
 		f.boxes[i] = &outageBox{Registry: f.boxes[i].Registry, downUntil: time.Now().Add(f.milliseconds(100, 2000))}
 	}
 }
@@ -335,14 +335,14 @@
 }
 
 // play draws a history and tells what broke.
-func (f *outageFleet) play() string {
+func (f *outageFleet) run() string {
 	for i := range f.boxes {
 		f.begin(i)
 	}
 	for range 6 {
 		f.join()
 	}
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	for range f.draw(1, 40) {
 		switch f.draw(0, 11) {
 		case 0:
@@ -352,14 +352,14 @@
 		case 3, 4:
 			f.leave(true)
 		case 5:
-			f.lapse()
+			f.removeLive()
 		case 6:
 			f.downUntil = time.Now().Add(f.milliseconds(100, 6000))
-			f.note("store down until %v", f.downUntil.Sub(f.began))
+			f.record("store down until %v", f.downUntil.Sub(f.began))
 		case 7:
 			i := f.draw(0, len(f.boxes)-1)
 			f.boxes[i].refusedUntil = time.Now().Add(f.milliseconds(100, 6000))
-			f.note("box %d refused until %v", i, f.boxes[i].refusedUntil.Sub(f.began))
+			f.record("box %d refused until %v", i, f.boxes[i].refusedUntil.Sub(f.began))
 		case 8:
 			f.kill(f.draw(0, len(f.boxes)-1))
 		case 9:
@@ -370,14 +370,14 @@
 			}
 		case 10:
 			for _, box := range f.boxes {
-				box.whole = true
+				box.fullRead = true
 			}
 		default:
 			f.store.version++
 		}
-		f.pass(f.milliseconds(0, 1500))
+		f.advance(f.milliseconds(0, 1500))
 	}
-	f.pass(15 * time.Second)
+	f.advance(15 * time.Second)
 	for i, box := range f.boxes {
 		got := map[string]route.Endpoint{}
 		for _, endpoint := range box.Directory().All() {
@@ -409,7 +409,7 @@
 				live:  map[string]route.Endpoint{}, leftAt: map[string]time.Time{},
 				boxes: make([]*outageBox, outageBoxes), began: time.Now(),
 			}
-			if why := f.play(); why != "" {
+			if why := f.run(); why != "" {
 				broken++
 				t.Logf("seed %d: %s; until then:\n%s", seed, why, strings.Join(f.log, "\n"))
 			}
--- a/pkg/registry/quarantine.go
+++ b/pkg/registry/quarantine.go
@@ -11,7 +11,7 @@
 
 // KeptRequest is a row of the store about a request under which endpoints ended. Problem is
 // set, and nothing else but the key, when it can not be read.
-type KeptRequest struct {
+type QuarantinedRequest struct {
 	quarantine.Kept
 	Key     string
 	Problem error
@@ -19,15 +19,15 @@
 
 const (
 	// keptAtOnce bounds the requests in one write.
-	keptAtOnce = 50
+	maxQuarantineBatch = 50
 	// keptTries is how often a starting box tries to read what is quarantined before it
 	// goes on without: a store that has a configuration has that, too, in most outages.
-	keptTries = 3
+	maxQuarantineReads = 3
 )
 
 // KeepQuarantine has what changed of the requests under which endpoints ended written to
 // the store.
-func (r *Registry) KeepQuarantine() {
+func (r *Registry) PersistQuarantine() {
 	select {
 	case r.quarantineChanged() <- struct{}{}:
 	default:
@@ -35,53 +35,53 @@
 }
 
 func (r *Registry) quarantineChanged() chan struct{} {
-	r.quarantineOnce.Do(func() { r.quarantineWake = make(chan struct{}, 1) })
-	return r.quarantineWake
+	r.quarantineOnce.Do(func() { r.quarantineSignal = make(chan struct{}, 1) })
+	return r.quarantineSignal
 }
 
 // followQuarantine writes it until the context ends.
 func (r *Registry) followQuarantine(ctx context.Context) error {
-	again := backoff{peers: r.Peers}
+	retry := backoff{peers: r.Peers}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-r.quarantineChanged():
 		}
-		for rows := r.unstored(); len(rows) > 0; rows = r.unstored() {
-			err := r.Store.KeepRequests(ctx, rows)
+		for rows := r.takeUnstored(); len(rows) > 0; rows = r.takeUnstored() {
+			err := r.Store.WriteQuarantine(ctx, rows)
 			if err == nil {
-				again.reset()
+				retry.reset()
 				continue
 			}
 			r.Quarantine.PutBack(rows)
 			r.Log.Warn("quarantined requests not written", zap.Int("Requests", len(rows)), zap.Error(err))
-			if again.wait(ctx) != nil {
+			if retry.wait(ctx) != nil {
 				return nil
 			}
 		}
 	}
 }
 
-func (r *Registry) unstored() []quarantine.Kept {
-	return r.Quarantine.TakeUnstored(keptAtOnce, time.Now())
+func (r *Registry) takeUnstored() []quarantine.Kept {
+	return r.Quarantine.TakeUnstored(maxQuarantineBatch, time.Now())
 }
 
 // learnQuarantine takes what the store keeps, before the configuration: a box that has one
 // serves, and has to know by then what it must not send. After all boxes were killed at
 // once nobody else knows.
-func (r *Registry) learnQuarantine(ctx context.Context) {
+func (r *Registry) loadQuarantine(ctx context.Context) {
 	if r.Quarantine == nil || r.FirstStart {
 		return
 	}
-	again := backoff{peers: r.Peers}
-	for range keptTries {
+	retry := backoff{peers: r.Peers}
+	for range maxQuarantineReads {
 		err := r.readQuarantine(ctx)
 		if err == nil {
 			return
 		}
 		r.Log.Warn("quarantined requests not read", zap.Error(err))
-		if again.wait(ctx) != nil {
+		if retry.wait(ctx) != nil {
 			return
 		}
 	}
@@ -95,12 +95,12 @@
 	if err := r.readQuarantine(ctx); err != nil {
 		return err
 	}
-	r.KeepQuarantine()
+	r.PersistQuarantine()
 	return nil
 }
 
 func (r *Registry) readQuarantine(ctx context.Context) (err error) {
-	rows, err := r.Store.KeptRequests(ctx)
+	rows, err := r.Store.ReadQuarantine(ctx)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	r.Quarantine.Restored(kept)
 	if len(old) > 0 {
 		r.Quarantine.PutBack(old)
-		r.KeepQuarantine()
+		r.PersistQuarantine()
 	}
 	return nil
 }
--- a/pkg/registry/renew.go
+++ b/pkg/registry/refresh.go
@@ -9,7 +9,7 @@
 
 // Renew reads the configuration, the orders and the endpoints once, whoever follows the
 // store: what this box knows may be older than it seems.
-func (r *Registry) Renew(ctx context.Context) (err error) {
+func (r *Registry) Refresh(ctx context.Context) (err error) {
 	defer func() { err = trace.Wrap(err, "reading again what the store holds") }()
 	declared, err := r.Store.Declared(ctx)
 	if err != nil {
@@ -17,14 +17,14 @@
 	}
 	since := r.Position()
 	entries, version, err := r.Store.EndpointsSince(ctx, since)
-	whole := isHistoryLost(err) || since == 0
-	if whole {
+	full := isHistoryLost(err) || since == 0
+	if full {
 		entries, version, err = r.Store.Endpoints(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	r.takeDeclared(declared, &orderReader{log: r.Log}, true)
-	r.takeAnswer(entries, since, version, whole, time.Now())
+	r.applyDeclared(declared, &orderReader{log: r.Log}, true)
+	r.applyRead(entries, since, version, full, time.Now())
 	return nil
 }
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -43,9 +43,9 @@
 	FoundBoxes func([]Box)
 	// Looked is called after each look at the endpoints, for the other boxes to
 	// hear.
-	Looked func()
+	Polled func()
 	// Live are the other boxes that are known to be alive; nil means that none are known.
-	Live func() []Box
+	LiveBoxes func() []Box
 	// Peers is the number of other boxes that follow the store.
 	Peers func() int
 	// Follows tells whether it falls to this box to follow the store; the others hear
@@ -53,12 +53,12 @@
 	Follows func() bool
 	// Turn is how many other boxes are to read the store before this one, where all have just
 	// started and know nothing. It is asked once the list of boxes is known. Nil means none.
-	Turn func() int
+	StartRank func() int
 	// Ahead is how many of these are alive and reach the store. Nil means none.
-	Ahead func() int
+	LiveAhead func() int
 	// ReadingWhole is called as a reading of all endpoints begins; nil means that nobody is
 	// to know.
-	ReadingWhole func(why Reason)
+	FullReadStarted func(why FullReadReason)
 	// StoreLost is called when the calls of this box begin to fail, and when they work
 	// again, and LostElsewhere tells whether those of another box fail.
 	StoreLost     func(lost bool)
@@ -67,24 +67,24 @@
 	FirstStart bool
 	// LeavingTime is the time within which an endpoint that leaves has to get no
 	// new work; 0 stands for two seconds.
-	LeavingTime time.Duration
+	MaxLeavingDelay time.Duration
 	// Quarantine holds the requests under which endpoints ended; nil means that none are
 	// kept.
 	Quarantine *quarantine.Ledger
 
 	// quarantineWake tells that some of it is to be written. Capacity 1.
-	quarantineWake chan struct{}
-	quarantineOnce sync.Once
+	quarantineSignal chan struct{}
+	quarantineOnce   sync.Once
 	// listed is closed once the list of boxes was read, or not read in time.
 	listed     chan struct{}
 	listedOnce sync.Once
 	// restores has a value once the store was restored. Capacity 1.
-	restores     chan struct{}
-	restoresOnce sync.Once
+	restoreSignal chan struct{}
+	restoreOnce   sync.Once
 	// heardLooks counts the looks of other boxes.
-	heardLooks atomic.Int64
-	catalog    atomic.Pointer[route.Catalog]
-	directory  atomic.Pointer[route.Directory]
+	peerPolls atomic.Int64
+	catalog   atomic.Pointer[route.Catalog]
+	directory atomic.Pointer[route.Directory]
 	// orders are nil until they are known.
 	orders atomic.Pointer[route.Orders]
 
@@ -94,20 +94,20 @@
 	entries entryTable
 	// touched are the IDs of the entries that changed since the directory was made, and
 	// changes those of the directory that nobody has taken yet.
-	touched []string
+	changedIDs []string
 	// quiet has endpoints that become known not logged one by one.
 	quiet bool
 	// passedOver counts the entries of a reading that differ from newer ones.
-	passedOver int
-	changes    []route.Change
+	passedOver     int
+	pendingChanges []route.Change
 	// knowledge is how much is known of the entries, by own looks or by what others
 	// told.
 	knowledge route.Knowledge
 	// unserved is what this box lacks and has heard of from nobody that can tell it.
-	unserved unserved
+	missing missingUpdates
 	// newest is the highest version of an entry, and digest sums up those that are listed.
-	newest epoch.Version
-	digest uint64
+	newestVersion epoch.Version
+	digest        uint64
 	// divergence is what is to be done about another digest.
 	divergence divergence
 	// lost is set while this box's calls of the store fail; lostAt is when that last
@@ -115,27 +115,27 @@
 	lost   bool
 	lostAt time.Time
 	// lapsing are the IDs of the entries that lapse.
-	lapsing map[string]struct{}
+	inGrace map[string]struct{}
 	// held are the entries that are Held, and when they count again.
 	held map[string]time.Time
 	// read is the newest version of this box's own readings of the endpoints, and declared
 	// that of what the operator wrote; 0 means none yet.
-	read, declared epoch.Version
+	readVersion, declaredVersion epoch.Version
 	// departures are the endpoints that said in an answer that they leave, by ID, and
 	// departureNews counts what was learnt of them.
-	departures    map[string]departure
-	departureNews uint64
+	departures   map[string]departure
+	departureSeq uint64
 	// looked is set once the list of boxes was read.
-	looked bool
+	boxesRead bool
 	// badBoxes are the versions of the rows of boxes that could not be read, by name, so
 	// that each is told of once.
-	badBoxes map[string]epoch.Version
+	rejectedBoxes map[string]epoch.Version
 	// unwellAt is when a call about the endpoints last failed, returnedAt when any box was first
 	// known to read them again after that, and unwellSince when any last had before.
-	unwellAt, returnedAt, unwellSince time.Time
+	failedAt, recoveredAt, outageSince time.Time
 	// lookedAt is when any box was last known to read the endpoints, and lookedBefore when the
 	// time before.
-	lookedAt, lookedBefore time.Time
+	lastPollAt, previousPollAt time.Time
 }
 
 const (
@@ -145,30 +145,30 @@
 	// of all boxes, the first notices within a few hundred milliseconds, and two
 	// seconds are given for putting a version in force. The most, with its jitter,
 	// is shorter than the history of 20 s that a store keeps.
-	catalogWaitLeast = 1500 * time.Millisecond
-	catalogWaitPart  = 250 * time.Millisecond
-	catalogWaitMost  = 15 * time.Second
+	minCatalogPollTimeout    = 1500 * time.Millisecond
+	catalogPollTimeoutPerBox = 250 * time.Millisecond
+	maxCatalogPollTimeout    = 15 * time.Second
 	// lookSoonest is the part of the time in which leaving endpoints have to be
 	// known for which no box looks again after a look by any box; lookSpread is the
 	// part over which the boxes spread their next looks, so that mostly one looks
 	// and tells. Together they bound the time between two looks, and leave two
 	// fifths for telling.
-	lookSoonest = 0.2
-	lookSpread  = 0.4
+	minPollFraction    = 0.2
+	pollJitterFraction = 0.4
 	// defaultLeavingTime stands in for LeavingTime.
-	defaultLeavingTime = 2 * time.Second
+	defaultMaxLeavingDelay = 2 * time.Second
 	// retryLeast and retryMost bound the wait after a failed call; it doubles.
 	// The most grows by retryPart for each other box, up to retryLongest: the
 	// first that reads again tells the others.
-	retryLeast   = 100 * time.Millisecond
-	retryMost    = 800 * time.Millisecond
-	retryPart    = 80 * time.Millisecond
-	retryLongest = 5 * time.Second
+	minRetryDelay      = 100 * time.Millisecond
+	maxRetryDelay      = 800 * time.Millisecond
+	retryDelayPerBox   = 80 * time.Millisecond
+	maxFleetRetryDelay = 5 * time.Second
 	// boxesInterval is the mean time between two looks at the list of boxes.
 	boxesInterval = 10 * time.Second
 	// boxesPart is added to it for each box: new ones tell all they find, and
 	// those tell the others nothing new.
-	boxesPart = 500 * time.Millisecond
+	boxesIntervalPerBox = 500 * time.Millisecond
 )
 
 // Run follows the store until the context ends.
@@ -180,7 +180,7 @@
 	group.Go(func() error { return r.followCatalog(ctx) })
 	group.Go(func() error { return r.followEndpoints(ctx) })
 	group.Go(func() error { return r.followBoxes(ctx) })
-	group.Go(func() error { return r.followLapses(ctx) })
+	group.Go(func() error { return r.runExpiry(ctx) })
 	group.Go(func() error { return r.followRestores(ctx) })
 	group.Go(func() error {
 		<-ctx.Done()
@@ -214,52 +214,52 @@
 }
 
 func (b *backoff) wait(ctx context.Context) error {
-	most := min(max(retryMost, retryPart*time.Duration(b.peers())), retryLongest)
-	length := min(retryLeast<<min(b.failures, 6), most)
+	maxDelay := min(max(maxRetryDelay, retryDelayPerBox*time.Duration(b.peers())), maxFleetRetryDelay)
+	delay := min(minRetryDelay<<min(b.failures, 6), maxDelay)
 	b.failures++
-	return interval.Wait(ctx, interval.Jittered(length))
+	return interval.Wait(ctx, interval.Jittered(delay))
 }
 
 func (b *backoff) reset() { b.failures = 0 }
 
 func (r *Registry) followEndpoints(ctx context.Context) error {
-	again := backoff{peers: r.Peers}
-	whole := false
-	for r.awaitFollow(ctx, r.Directory() != nil, r.lacks) == nil {
+	retry := backoff{peers: r.Peers}
+	full := false
+	for r.awaitFollow(ctx, r.Directory() != nil, r.needsOwnRead) == nil {
 		since := r.Position()
-		whole = whole || since == 0 || r.isDivergent(time.Now())
-		if whole {
-			r.noteWhole(since, again.failures)
+		full = full || since == 0 || r.isDivergent(time.Now())
+		if full {
+			r.reportFullRead(since, retry.failures)
 		}
-		entries, version, err := r.nextEndpoints(ctx, since, whole)
-		r.noteCall(err)
+		entries, version, err := r.readEndpoints(ctx, since, full)
+		r.recordCall(err)
 		if err != nil {
-			whole = whole || isHistoryLost(err)
-			r.endpointsFailed(err)
+			full = full || isHistoryLost(err)
+			r.recordEndpointsFailure(err)
 			r.Log.Warn("endpoints not read", zap.Stringer("Since", since), zap.Error(err))
-			if again.wait(ctx) != nil {
+			if retry.wait(ctx) != nil {
 				return nil
 			}
 			continue
 		}
-		if again.failures > 0 {
-			r.Log.Info("endpoints are read again", zap.Int("Failures", again.failures))
+		if retry.failures > 0 {
+			r.Log.Info("endpoints are read again", zap.Int("Failures", retry.failures))
 		}
-		again.reset()
-		r.endpointsRead(time.Now())
-		passedOver := r.takeAnswer(entries, since, version, whole, time.Now())
-		if (whole && since > 0) || version < since {
+		retry.reset()
+		r.recordEndpointsRead(time.Now())
+		passedOver := r.applyRead(entries, since, version, full, time.Now())
+		if (full && since > 0) || version < since {
 			r.Log.Info("endpoints read from another version",
 				zap.Stringer("Since", since),
 				zap.Stringer("Version", version),
-				zap.Bool("Whole", whole),
+				zap.Bool("Whole", full),
 				zap.Int("Entries", len(entries)),
 				zap.Int("PassedOver", passedOver))
 		}
-		whole = false
-		r.Looked()
-		r.renewDeclared(ctx)
-		if r.awaitTurn(ctx) != nil {
+		full = false
+		r.Polled()
+		r.refreshDeclared(ctx)
+		if r.awaitNextPoll(ctx) != nil {
 			return nil
 		}
 	}
@@ -267,15 +267,15 @@
 }
 
 // awaitTurn waits until no box has looked at the endpoints for a while.
-func (r *Registry) awaitTurn(ctx context.Context) error {
-	bound := float64(r.leavingTime())
+func (r *Registry) awaitNextPoll(ctx context.Context) error {
+	maxDelay := float64(r.maxLeavingDelay())
 	for {
-		heard := r.heardLooks.Load()
-		wait := time.Duration((lookSoonest + lookSpread*rand.Float64()) * bound)
+		polls := r.peerPolls.Load()
+		wait := time.Duration((minPollFraction + pollJitterFraction*rand.Float64()) * maxDelay)
 		if err := interval.Wait(ctx, wait); err != nil {
 			return err
 		}
-		if r.heardLooks.Load() == heard {
+		if r.peerPolls.Load() == polls {
 			return nil
 		}
 	}
@@ -283,12 +283,14 @@
 
 // HeardLook notes that another box looked at the endpoints, and told what it
 // found.
-func (r *Registry) HeardLook() {
-	r.heardLooks.Add(1)
-	r.endpointsRead(time.Now())
+func (r *Registry) RecordPeerPoll() {
+	r.peerPolls.Add(1)
+	r.recordEndpointsRead(time.Now())
 }
 
-func (r *Registry) leavingTime() time.Duration { return cmp.Or(r.LeavingTime, defaultLeavingTime) }
+func (r *Registry) maxLeavingDelay() time.Duration {
+	return cmp.Or(r.MaxLeavingDelay, defaultMaxLeavingDelay)
+}
 
 // Position is the version up to which this box has read the endpoints, or was told of them.
 func (r *Registry) Position() epoch.Version {
@@ -297,8 +299,8 @@
 	return r.knowledge.Known
 }
 
-func (r *Registry) nextEndpoints(ctx context.Context, since epoch.Version, whole bool) ([]Entry, epoch.Version, error) {
-	if whole {
+func (r *Registry) readEndpoints(ctx context.Context, since epoch.Version, full bool) ([]Entry, epoch.Version, error) {
+	if full {
 		return r.Store.Endpoints(ctx)
 	}
 	return r.Store.EndpointsSince(ctx, since)
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -32,7 +32,7 @@
 	keepsBoxes bool
 	announced  int
 	// failing makes every call fail; lost makes one feed forget its history.
-	failing, lost bool
+	failing, historyLost bool
 	// hanging has feeds wait as long as they may and a second more, then fail.
 	hanging bool
 }
@@ -109,8 +109,8 @@
 	if now.failing {
 		return nil, 0, errStoreDown
 	}
-	if now.lost {
-		f.change(func(s *fakeState) { s.lost = false })
+	if now.historyLost {
+		f.change(func(s *fakeState) { s.historyLost = false })
 		return nil, 0, ErrHistoryLost
 	}
 	var newer []Entry
@@ -138,8 +138,8 @@
 	return nil
 }
 
-func (f *fakeStore) KeptRequests(context.Context) ([]KeptRequest, error)   { return nil, nil }
-func (f *fakeStore) KeepRequests(context.Context, []quarantine.Kept) error { return nil }
+func (f *fakeStore) ReadQuarantine(context.Context) ([]QuarantinedRequest, error) { return nil, nil }
+func (f *fakeStore) WriteQuarantine(context.Context, []quarantine.Kept) error     { return nil }
 func (f *fakeStore) Boxes(context.Context, string, int) ([]ListedBox, error) {
 	return f.now().boxes, nil
 }
@@ -201,7 +201,7 @@
 		FoundBoxes: func([]Box) {},
 		Peers:      func() int { return 0 },
 	}
-	r.Looked = func() { looked(r) }
+	r.Polled = func() { looked(r) }
 	for _, set := range configure {
 		set(r)
 	}
@@ -217,8 +217,8 @@
 }
 
 // takeRead takes an answer of the store that came at once.
-func (r *Registry) takeRead(entries []Entry, version epoch.Version, whole bool, now time.Time) (passedOver int) {
-	return r.takeAnswer(entries, r.Position(), version, whole, now)
+func (r *Registry) applyReadNow(entries []Entry, version epoch.Version, whole bool, now time.Time) (passedOver int) {
+	return r.applyRead(entries, r.Position(), version, whole, now)
 }
 
 func has(r *Registry, id string) bool {
@@ -227,7 +227,7 @@
 }
 
 // nextLook is the longest time until the next look at the endpoints, with one retry.
-const nextLook = time.Duration((lookSoonest+lookSpread)*float64(defaultLeavingTime)) + 2*retryLeast
+const maxPollDelay = time.Duration((minPollFraction+pollJitterFraction)*float64(defaultMaxLeavingDelay)) + 2*minRetryDelay
 
 func TestRegistry(t *testing.T) {
 	cases := []struct {
@@ -236,13 +236,13 @@
 	}{
 		{"an entry that goes is dropped at once while the store is well", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.remove("a", 2) })
-			time.Sleep(nextLook)
+			time.Sleep(maxPollDelay)
 			So(has(r, "a"), ShouldBeFalse)
 		}},
 		{"a lost history is no outage: an entry that went in the gap is dropped at once", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.remove("a", 2) })
-			store.change(func(s *fakeState) { s.lost = true })
-			time.Sleep(nextLook)
+			store.change(func(s *fakeState) { s.historyLost = true })
+			time.Sleep(maxPollDelay)
 			So(has(r, "a"), ShouldBeFalse)
 		}},
 		{"an entry that lapsed in an outage is used for two seconds more", func(store *fakeStore, r *Registry) {
@@ -259,9 +259,9 @@
 			store.change(func(s *fakeState) { s.failing = true })
 			time.Sleep(5 * time.Second)
 			store.change(func(s *fakeState) { s.failing = false })
-			r.HeardLook()
+			r.RecordPeerPoll()
 			store.change(func(s *fakeState) { s.remove("a", 2) })
-			time.Sleep(defaultLeavingTime)
+			time.Sleep(defaultMaxLeavingDelay)
 			So(has(r, "a"), ShouldBeFalse)
 		}},
 		{"an entry that comes back after an outage stays", func(store *fakeStore, r *Registry) {
@@ -304,19 +304,19 @@
 			So(has(r, "a"), ShouldBeTrue)
 		}},
 		{"an entry that can not be read is told to others as gone, and a later good one as there", func(store *fakeStore, r *Registry) {
-			other := &reader{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}}
-			follower := &reader{Registry: r}
-			other.hear(follower)
+			other := &testBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}}
+			follower := &testBox{Registry: r}
+			other.receive(follower)
 			So(has(other.Registry, "a"), ShouldBeTrue)
 			store.change(func(s *fakeState) {
 				s.set(Entry{Endpoint: route.Endpoint{ID: "a"}, Version: 2, Problem: errors.New("no address")})
 			})
 			time.Sleep(2 * time.Second)
-			other.hear(follower)
+			other.receive(follower)
 			So(has(other.Registry, "a"), ShouldBeFalse)
 			store.change(func(s *fakeState) { s.put("a", 3) })
 			time.Sleep(2 * time.Second)
-			other.hear(follower)
+			other.receive(follower)
 			So(has(other.Registry, "a"), ShouldBeTrue)
 		}},
 		{"an entry of an earlier start is passed over, whatever its version", func(store *fakeStore, r *Registry) {
@@ -424,7 +424,7 @@
 				looks = append(looks, time.Now())
 				for _, other := range fleet {
 					if other != by {
-						other.HeardLook()
+						other.RecordPeerPoll()
 					}
 				}
 			}
@@ -462,7 +462,7 @@
 			for range cutOff {
 				store := &fakeStore{}
 				store.change(func(s *fakeState) { s.put("a", 1) })
-				_, stop := start(t, store, func(r *Registry) { (&reader{Registry: other}).hear(&reader{Registry: r}) })
+				_, stop := start(t, store, func(r *Registry) { (&testBox{Registry: other}).receive(&testBox{Registry: r}) })
 				defer stop()
 				time.Sleep(time.Second)
 				store.change(func(s *fakeState) { s.failing = true })
@@ -475,7 +475,7 @@
 					s.failing = false
 				})
 			}
-			time.Sleep(defaultLeavingTime)
+			time.Sleep(defaultMaxLeavingDelay)
 			if has(other, "a") {
 				t.Error("the box that was not cut off still uses the endpoint")
 			}
--- a/pkg/registry/restored.go
+++ b/pkg/registry/restored.go
@@ -13,23 +13,23 @@
 // restoredHold is how long what was known before the store was restored holds against a row of
 // its copy. A server that lives has written again what it had written within two seconds, and
 // the row of one that does not is removed after three heartbeats.
-const restoredHold = 8 * time.Second
+const restoreHoldDelay = 8 * time.Second
 
 // noteRead notes a reading of the endpoints. The first one after the store was restored counts
 // as its return from an outage: what the copy lacks may only have been written after it. The
 // lock is held.
-func (r *Registry) noteRead(version epoch.Version, now time.Time) {
-	before := r.read
+func (r *Registry) recordRead(version epoch.Version, now time.Time) {
+	before := r.readVersion
 	if before == 0 {
 		before = r.knowledge.Known
 	}
-	r.read = max(r.read, version)
+	r.readVersion = max(r.readVersion, version)
 	if before == 0 || !before.HasEarlierEpochThan(version) {
 		return
 	}
 	r.logRestored(before, version, fromStore)
-	if now.Sub(r.unwellAt) >= unwellFor {
-		r.unwellAt, r.returnedAt, r.unwellSince = now, now, time.Time{}
+	if now.Sub(r.failedAt) >= outageWindow {
+		r.failedAt, r.recoveredAt, r.outageSince = now, now, time.Time{}
 	}
 	select {
 	case r.restored() <- struct{}{}:
@@ -48,12 +48,12 @@
 // endpoint that leaves never takes that back: the row is an older word of it that was written late. A
 // row of a later epoch may be older than what is known, whatever its version, and an endpoint that is
 // gone is held. The lock is held.
-func (r *Registry) outlive(entry, known *Entry, now time.Time) {
+func (r *Registry) carryOver(entry, known *Entry, now time.Time) {
 	if entry.Supersedes(&known.Facts) {
 		return
 	}
 	if known.Leaving && !entry.Leaving {
-		r.depart(lifecycle.Departure{Endpoint: known.ID, Born: known.Born}, "", now)
+		r.addDeparture(lifecycle.Departure{Endpoint: known.ID, Born: known.Born}, "", now)
 	}
 	writtenSince := !known.Version.HasEarlierEpochThan(entry.Version) || entry.Version.Counter() > known.Version.Counter()
 	if known.Gone && !entry.Gone && !writtenSince {
@@ -67,8 +67,8 @@
 		r.held = map[string]time.Time{}
 	}
 	r.put(entry)
-	delete(r.lapsing, entry.ID)
-	r.held[entry.ID] = now.Add(restoredHold)
+	delete(r.inGrace, entry.ID)
+	r.held[entry.ID] = now.Add(restoreHoldDelay)
 	if r.quiet {
 		return
 	}
@@ -77,7 +77,7 @@
 		zap.Stringer("Version", entry.Version))
 }
 
-func (r *Registry) holdPending() bool {
+func (r *Registry) hasHeld() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.held) > 0
@@ -108,9 +108,9 @@
 // renewDeclared reads what the operator wrote where the last reading is of an earlier epoch
 // than that of the endpoints: the call that waits for changes may go on waiting for those of a
 // history that is gone.
-func (r *Registry) renewDeclared(ctx context.Context) {
+func (r *Registry) refreshDeclared(ctx context.Context) {
 	r.mu.Lock()
-	behind := r.declared != 0 && r.declared.HasEarlierEpochThan(r.read)
+	behind := r.declaredVersion != 0 && r.declaredVersion.HasEarlierEpochThan(r.readVersion)
 	r.mu.Unlock()
 	if !behind {
 		return
@@ -120,17 +120,17 @@
 		r.Log.Warn("catalog not read", zap.Error(err))
 		return
 	}
-	r.takeDeclared(declared, &orderReader{log: r.Log}, true)
+	r.applyDeclared(declared, &orderReader{log: r.Log}, true)
 }
 
 // takeDeclared puts in force what the operator wrote.
-func (r *Registry) takeDeclared(declared Declared, orders *orderReader, whole bool) {
+func (r *Registry) applyDeclared(declared Declared, orders *orderReader, full bool) {
 	// The orders go first: a box that has a configuration serves.
-	if changed, now := orders.read(declared, whole); changed {
+	if changed, now := orders.apply(declared, full); changed {
 		r.OfferOrders(now, fromStore)
 	}
 	r.mu.Lock()
-	r.declared = max(r.declared, declared.Version)
+	r.declaredVersion = max(r.declaredVersion, declared.Version)
 	r.mu.Unlock()
 	if declared.Content != nil {
 		r.OfferCatalog(declared.Content, fromStore)
--- a/pkg/registry/restored_test.go
+++ b/pkg/registry/restored_test.go
@@ -23,7 +23,7 @@
 	// servers are the states of the servers that have not ended.
 	servers map[string]route.Endpoint
 	// due is what happens later.
-	due []dueWrite
+	dueWrites []dueWrite
 }
 
 type dueWrite struct {
@@ -32,14 +32,14 @@
 }
 
 // silence is how long after the last sign of life of a server its row goes.
-const silence = 3600 * time.Millisecond
+const rowTTL = 3600 * time.Millisecond
 
-func (s *restorableStore) later(after time.Duration, write func()) {
-	s.due = append(s.due, dueWrite{at: time.Now().Add(after), write: write})
+func (s *restorableStore) schedule(after time.Duration, write func()) {
+	s.dueWrites = append(s.dueWrites, dueWrite{at: time.Now().Add(after), write: write})
 }
 
 // tell has a server write its state, if it still has one.
-func (s *restorableStore) tell(id string) {
+func (s *restorableStore) writeState(id string) {
 	if server, lives := s.servers[id]; lives {
 		s.write(id, func(e *Entry) { e.Gone, e.Endpoint = false, server })
 	}
@@ -51,13 +51,13 @@
 	}
 }
 
-func (s *restorableStore) pass(length time.Duration) {
+func (s *restorableStore) advance(length time.Duration) {
 	time.Sleep(length)
-	due := s.due
-	s.due = nil
+	due := s.dueWrites
+	s.dueWrites = nil
 	for _, one := range due {
 		if time.Now().Before(one.at) {
-			s.due = append(s.due, one)
+			s.dueWrites = append(s.dueWrites, one)
 			continue
 		}
 		one.write()
@@ -65,7 +65,7 @@
 }
 
 // copyOf is the store as it is, for restore.
-func (s *restorableStore) copyOf() versionedStore {
+func (s *restorableStore) snapshot() versionedStore {
 	return versionedStore{version: s.version, entries: maps.Clone(s.entries)}
 }
 
@@ -80,13 +80,13 @@
 		entry.Version = epoch.Join(at, entry.Version.Counter())
 		s.entries[id] = entry
 		if _, lives := s.servers[id]; !lives && !entry.Gone {
-			s.later(silence, func() { s.remove(id) })
+			s.schedule(rowTTL, func() { s.remove(id) })
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
 		entry, listed := s.entries[id]
 		if !listed || entry.Gone || entry.Endpoint != s.servers[id] {
-			s.later(again(), func() { s.tell(id) })
+			s.schedule(again(), func() { s.writeState(id) })
 		}
 	}
 }
@@ -102,36 +102,36 @@
 	return &restoredBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}, left: map[string]bool{}}
 }
 
-func (b *restoredBox) look(store *restorableStore) {
+func (b *restoredBox) poll(store *restorableStore) {
 	since := b.Position()
 	if since == 0 || since.Epoch() != store.version.Epoch() || since > store.version {
-		b.endpointsRead(time.Now())
-		b.takeRead(store.whole(), store.version, true, time.Now())
+		b.recordEndpointsRead(time.Now())
+		b.applyReadNow(store.present(), store.version, true, time.Now())
 		return
 	}
-	b.takeRead(store.since(since), store.version, false, time.Now())
+	b.applyReadNow(store.since(since), store.version, false, time.Now())
 }
 
-func (b *restoredBox) hear(other *restoredBox) {
+func (b *restoredBox) receive(other *restoredBox) {
 	told, _ := other.Departures(0, "", time.Now())
 	b.OfferDepartures(told, "other", time.Now())
-	if _, ask := b.HeardKnowledge(other.Knowledge(), other.Newest()); ask {
-		entries, then, _ := other.Since(b.Position())
+	if _, ask := b.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); ask {
+		entries, then, _ := other.EntriesSince(b.Position())
 		b.OfferEntries(valuesOf(entries), then, "other")
 	}
 }
 
 // meet has some boxes look at the store and all hear each other.
-func meet(boxes []*restoredBox, store *restorableStore, lookers ...int) {
+func exchange(boxes []*restoredBox, store *restorableStore, lookers ...int) {
 	for _, looker := range lookers {
-		boxes[looker].look(store)
+		boxes[looker].poll(store)
 	}
 	for range boxes {
 		for i, box := range boxes {
-			box.hear(boxes[(i+1)%len(boxes)])
-			box.hear(boxes[(i+len(boxes)-1)%len(boxes)])
-			if box.isUnserved(time.Now()) {
-				box.look(store)
+			box.receive(boxes[(i+1)%len(boxes)])
+			box.receive(boxes[(i+len(boxes)-1)%len(boxes)])
+			if box.isMissingUpdates(time.Now()) {
+				box.poll(store)
 			}
 			box.update(time.Now(), func() bool { return false })
 		}
@@ -140,7 +140,7 @@
 
 // undone is an endpoint that a box sends to again though it has known that it leaves or has
 // ended.
-func (b *restoredBox) undone(store *restorableStore) string {
+func (b *restoredBox) readmitted(store *restorableStore) string {
 	if b.Directory() == nil {
 		return ""
 	}
@@ -166,22 +166,22 @@
 }
 
 // undying is a test that tells no deadline, as there is none in a bubble.
-type undying struct{ *testing.T }
+type noDeadline struct{ *testing.T }
 
-func (undying) Deadline() (deadline time.Time, ok bool) { return deadline, false }
+func (noDeadline) Deadline() (deadline time.Time, ok bool) { return deadline, false }
 
 func TestRestoredHistories(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(undying{t}, func(t *rapid.T) {
+		rapid.Check(noDeadline{t}, func(t *rapid.T) {
 			store := &restorableStore{versionedStore: versionedStore{entries: map[string]Entry{}}, servers: map[string]route.Endpoint{}}
 			boxes := []*restoredBox{newRestoredBox(), newRestoredBox(), newRestoredBox(), newRestoredBox()}
-			copies := []versionedStore{store.copyOf()}
+			copies := []versionedStore{store.snapshot()}
 			again := func() time.Duration {
 				return time.Duration(rapid.IntRange(0, 1500).Draw(t, "again")) * time.Millisecond
 			}
 			check := func() {
 				for i, box := range boxes {
-					if id := box.undone(store); id != "" {
+					if id := box.readmitted(store); id != "" {
 						t.Fatalf("box %d sends to %s again", i, id)
 					}
 				}
@@ -199,13 +199,13 @@
 					id := fmt.Sprintf("e-%d", next)
 					next++
 					store.servers[id] = route.Endpoint{ID: id, Service: "llm", Address: "10.0.0.1:80", Zone: "zone-a"}
-					store.tell(id)
+					store.writeState(id)
 				case 2:
 					if id := drawn(); id != "" {
 						server := store.servers[id]
 						server.Leaving = true
 						store.servers[id] = server
-						store.tell(id)
+						store.writeState(id)
 					}
 				case 3:
 					if id := drawn(); id != "" {
@@ -216,10 +216,10 @@
 					// Its signs of life are late.
 					if id := drawn(); id != "" {
 						store.remove(id)
-						store.later(again(), func() { store.tell(id) })
+						store.schedule(again(), func() { store.writeState(id) })
 					}
 				case 5:
-					copies = append(copies, store.copyOf())
+					copies = append(copies, store.snapshot())
 				case 6:
 					store.restore(copies[max(0, len(copies)-1-rapid.IntRange(0, 2).Draw(t, "older"))], again)
 					copies = copies[:1]
@@ -231,13 +231,13 @@
 						store.version++
 					}
 				}
-				store.pass(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
-				meet(boxes, store, rapid.IntRange(0, len(boxes)-1).Draw(t, "looker"))
+				store.advance(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
+				exchange(boxes, store, rapid.IntRange(0, len(boxes)-1).Draw(t, "looker"))
 				check()
 			}
-			for end := time.Now().Add(restoredHold + silence + time.Second); time.Now().Before(end); {
-				store.pass(time.Second)
-				meet(boxes, store, 0)
+			for end := time.Now().Add(restoreHoldDelay + rowTTL + time.Second); time.Now().Before(end); {
+				store.advance(time.Second)
+				exchange(boxes, store, 0)
 				check()
 			}
 			for i, box := range boxes {
@@ -260,21 +260,21 @@
 		for _, back := range []bool{true, false} {
 			r := newRegistry()
 			now := time.Now().Add(-time.Minute)
-			r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: at(1, 5)}, {Endpoint: endpointOf("b"), Version: at(1, 9)}}, at(1, 9), true, now)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(1, 5)}, {Endpoint: endpointOf("b"), Version: at(1, 9)}}, at(1, 9), true, now)
 			now = now.Add(time.Minute)
-			r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 5)}}, at(2, 6), true, now)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 5)}}, at(2, 6), true, now)
 			So(has(r, "b"), ShouldBeTrue)
 			So(r.Knowledge().Known, ShouldEqual, at(2, 6))
 			taker := newRegistry()
-			entries, then, _ := r.Since(0)
+			entries, then, _ := r.EntriesSince(0)
 			taker.OfferEntries(valuesOf(entries), then, "teller")
 			So(has(taker, "b"), ShouldBeTrue)
 			if back {
-				r.takeRead([]Entry{{Endpoint: endpointOf("b"), Version: at(2, 7)}}, at(2, 7), false, now.Add(time.Second))
+				r.applyReadNow([]Entry{{Endpoint: endpointOf("b"), Version: at(2, 7)}}, at(2, 7), false, now.Add(time.Second))
 			}
-			taker.update(now.Add(defaultLeavingTime-lapseReserve), func() bool { return false })
+			taker.update(now.Add(defaultMaxLeavingDelay-graceMargin), func() bool { return false })
 			So(has(taker, "b"), ShouldBeFalse)
-			r.update(now.Add(defaultLeavingTime-lapseReserve), func() bool { return false })
+			r.update(now.Add(defaultMaxLeavingDelay-graceMargin), func() bool { return false })
 			So(has(r, "b"), ShouldEqual, back)
 			So(r.Knowledge().Known.Epoch(), ShouldEqual, 2)
 		}
@@ -282,37 +282,37 @@
 	Convey("One that is gone stays so for a while, or until it is written again", t, func() {
 		for _, back := range []bool{true, false} {
 			r := newRegistry()
-			r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: at(1, 5)}}, at(1, 5), true, departed)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(1, 5)}}, at(1, 5), true, baseTime)
 			gone := Entry{Endpoint: endpointOf("a"), Version: at(1, 9), Gone: true}
-			r.takeRead([]Entry{gone}, at(1, 9), false, departed)
-			r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 5)}}, at(2, 6), true, departed)
+			r.applyReadNow([]Entry{gone}, at(1, 9), false, baseTime)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 5)}}, at(2, 6), true, baseTime)
 			So(has(r, "a"), ShouldBeFalse)
 			taker := newRegistry()
-			entries, then, _ := r.Since(0)
+			entries, then, _ := r.EntriesSince(0)
 			taker.OfferEntries(valuesOf(entries), then, "teller")
 			So(has(taker, "a"), ShouldBeFalse)
-			So(taker.holdPending(), ShouldBeTrue)
+			So(taker.hasHeld(), ShouldBeTrue)
 			if back {
-				r.takeRead([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 10)}}, at(2, 10), false, departed)
+				r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 10)}}, at(2, 10), false, baseTime)
 				So(has(r, "a"), ShouldBeTrue)
 			}
-			r.update(departed.Add(restoredHold), func() bool { return false })
+			r.update(baseTime.Add(restoreHoldDelay), func() bool { return false })
 			So(has(r, "a"), ShouldBeTrue)
-			So(r.holdPending(), ShouldBeFalse)
+			So(r.hasHeld(), ShouldBeFalse)
 		}
 	})
 	Convey("A later start is taken at once, and an earlier one passed over", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{rowOf(at(1, 5), 7, true)}, at(1, 5), true, departed)
-		r.takeRead([]Entry{rowOf(at(2, 3), 6, false)}, at(2, 4), true, departed)
+		r.applyReadNow([]Entry{rowOf(at(1, 5), 7, true)}, at(1, 5), true, baseTime)
+		r.applyReadNow([]Entry{rowOf(at(2, 3), 6, false)}, at(2, 4), true, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeTrue)
-		r.takeRead([]Entry{rowOf(at(2, 5), 8, false)}, at(2, 5), false, departed)
+		r.applyReadNow([]Entry{rowOf(at(2, 5), 8, false)}, at(2, 5), false, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeFalse)
 	})
 	Convey("A departure of the epoch before that comes late counts", t, func() {
 		r := newRegistry()
-		r.takeRead([]Entry{rowOf(at(2, 3), 0, false)}, at(2, 3), true, departed)
-		r.takeRead([]Entry{rowOf(at(1, 9), 0, true)}, at(1, 9), false, departed)
+		r.applyReadNow([]Entry{rowOf(at(2, 3), 0, false)}, at(2, 3), true, baseTime)
+		r.applyReadNow([]Entry{rowOf(at(1, 9), 0, true)}, at(1, 9), false, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeTrue)
 		So(r.Knowledge().Known, ShouldEqual, at(2, 3))
 	})
@@ -333,7 +333,7 @@
 			So(endpointIn(r, "a").Evacuated, ShouldBeTrue)
 			r.OfferOrders(route.Orders{Version: epoch.Join(2, 5)}, "peer")
 			So(endpointIn(r, "a").Evacuated, ShouldBeTrue)
-			time.Sleep(restoredHold + 2*lapseLook)
+			time.Sleep(restoreHoldDelay + 2*expiryCheckInterval)
 			So(endpointIn(r, "a").Evacuated, ShouldBeFalse)
 		})
 	})
@@ -358,7 +358,7 @@
 				for i := range followers {
 					_, stop := start(t, store, func(*Registry) {}, func(r *Registry) {
 						r.Self = all[i]
-						r.Live = func() []Box { return all }
+						r.LiveBoxes = func() []Box { return all }
 						r.Peers = func() int { return followers - 1 }
 					})
 					defer stop()
@@ -375,7 +375,7 @@
 				})
 				time.Sleep(time.Second)
 				store.change(func(s *fakeState) { s.failing = false })
-				time.Sleep(retryLongest + rewriteSpread + 2*time.Second)
+				time.Sleep(maxFleetRetryDelay + maxRewriteDelay + 2*time.Second)
 				now := store.now()
 				names := map[string]int{}
 				for _, row := range now.boxes {
--- a/pkg/registry/rewrite.go
+++ b/pkg/registry/rewrite.go
@@ -12,38 +12,38 @@
 
 // rewriteSpread is the time over which the boxes that read the store spread their looks at what
 // boxes had written before it was restored: the first ones write, and the others find it.
-const rewriteSpread = 4 * time.Second
+const maxRewriteDelay = 4 * time.Second
 
 func (r *Registry) restored() chan struct{} {
-	r.restoresOnce.Do(func() { r.restores = make(chan struct{}, 1) })
-	return r.restores
+	r.restoreOnce.Do(func() { r.restoreSignal = make(chan struct{}, 1) })
+	return r.restoreSignal
 }
 
 // followRestores has what boxes had written to the store written again where it is missing
 // after a restore, until the context ends. Only boxes that read the endpoints notice one.
 func (r *Registry) followRestores(ctx context.Context) error {
-	again := backoff{peers: r.Peers}
+	retry := backoff{peers: r.Peers}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-r.restored():
 		}
-		if interval.Wait(ctx, rand.N(rewriteSpread)) != nil {
+		if interval.Wait(ctx, rand.N(maxRewriteDelay)) != nil {
 			return nil
 		}
-		for err := r.rewrite(ctx); err != nil; err = r.rewrite(ctx) {
+		for err := r.rewriteRows(ctx); err != nil; err = r.rewriteRows(ctx) {
 			r.Log.Warn("rows of boxes and requests not written again", zap.Error(err))
-			if again.wait(ctx) != nil {
+			if retry.wait(ctx) != nil {
 				return nil
 			}
 		}
-		again.reset()
+		retry.reset()
 	}
 }
 
 // rewrite writes what is missing.
-func (r *Registry) rewrite(ctx context.Context) error {
+func (r *Registry) rewriteRows(ctx context.Context) error {
 	if err := r.rewriteQuarantine(ctx); err != nil {
 		return err
 	}
@@ -60,8 +60,8 @@
 		names[listed[i].Name] = true
 	}
 	alive := []Box{r.Self}
-	if r.Live != nil {
-		alive = append(alive, r.Live()...)
+	if r.LiveBoxes != nil {
+		alive = append(alive, r.LiveBoxes()...)
 	}
 	var missing []Box
 	for _, box := range alive {
--- a/pkg/registry/histories_test.go
+++ b/pkg/registry/slow_answers_test.go
@@ -15,7 +15,7 @@
 type answer struct {
 	box *Registry
 	// take merges it.
-	take func()
+	apply func()
 }
 
 // slowHistory is a drawn fleet whose calls take time.
@@ -39,25 +39,25 @@
 func (h *slowHistory) read(box *Registry, whole bool) {
 	since, version := box.Position(), h.store.version
 	whole = whole || since == 0
-	entries := h.store.whole()
+	entries := h.store.present()
 	if !whole {
 		entries = h.store.since(since)
 	}
-	h.answers = append(h.answers, answer{box: box, take: func() {
-		box.takeAnswer(entries, since, version, whole, time.Now())
+	h.answers = append(h.answers, answer{box: box, apply: func() {
+		box.applyRead(entries, since, version, whole, time.Now())
 	}})
 }
 
 // hear has a box hear another one, and ask it where that knows more.
-func (h *slowHistory) hear(box, other *Registry) {
-	if _, ask := box.HeardKnowledge(other.Knowledge(), other.Newest()); !ask {
+func (h *slowHistory) receive(box, other *Registry) {
+	if _, ask := box.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); !ask {
 		return
 	}
 	name := slices.Index(h.boxes, other)
-	h.answers = append(h.answers, answer{box: box, take: func() {
+	h.answers = append(h.answers, answer{box: box, apply: func() {
 		// It may have started again.
-		entries, then, _ := h.boxes[name].Since(box.Position())
-		h.answers = append(h.answers, answer{box: box, take: func() { box.OfferEntries(valuesOf(entries), then, "other") }})
+		entries, then, _ := h.boxes[name].EntriesSince(box.Position())
+		h.answers = append(h.answers, answer{box: box, apply: func() { box.OfferEntries(valuesOf(entries), then, "other") }})
 	}})
 }
 
@@ -86,19 +86,19 @@
 			h.boxes[again] = newRegistry()
 		}
 	case 6, 7, 8:
-		h.hear(h.box(), h.box())
+		h.receive(h.box(), h.box())
 	default:
 		if len(h.answers) > 0 {
 			at := h.IntN(len(h.answers))
 			due := h.answers[at]
 			h.answers = slices.Delete(h.answers, at, at+1)
-			due.take()
+			due.apply()
 		}
 	}
 }
 
 // broken tells of a box that knows all up to the store's version, and has other endpoints.
-func (h *slowHistory) broken() string {
+func (h *slowHistory) mismatch() string {
 	for i, box := range h.boxes {
 		if box.Knowledge().Known != h.store.version || box.Directory() == nil {
 			continue
@@ -129,7 +129,7 @@
 		}
 		for range slowSteps {
 			h.step()
-			if why := h.broken(); why != "" {
+			if why := h.mismatch(); why != "" {
 				t.Logf("seed %d: %s", seed, why)
 				broken++
 				break
--- a/pkg/registry/turns_test.go
+++ b/pkg/registry/start_turns_test.go
@@ -14,51 +14,51 @@
 )
 
 // pagedStore takes a time for the whole table, and may turn its box away.
-type pagedStore struct {
-	*callsOf
-	takes      time.Duration
-	turnedAway bool
+type slowStore struct {
+	*countingStore
+	readTime time.Duration
+	refuses  bool
 }
 
-func (s *pagedStore) Endpoints(ctx context.Context) ([]Entry, epoch.Version, error) {
-	if s.turnedAway {
+func (s *slowStore) Endpoints(ctx context.Context) ([]Entry, epoch.Version, error) {
+	if s.refuses {
 		s.endpoints.Add(1)
 		return nil, 0, errStoreDown
 	}
-	time.Sleep(s.takes)
-	return s.callsOf.Endpoints(ctx)
+	time.Sleep(s.readTime)
+	return s.countingStore.Endpoints(ctx)
 }
 
 // restarted is a fleet whose boxes all start at once, though it has run before.
-type restarted struct {
+type restartedFleet struct {
 	boxes  []*Registry
-	stores []*pagedStore
+	stores []*slowStore
 }
 
 const (
 	restartedBoxes = 100
 	// hop is how long it takes until a box that knows all has told another one.
-	hop = 150 * time.Millisecond
+	hopDelay = 150 * time.Millisecond
 )
 
-func newRestarted(state *fakeStore, turnedAway int) *restarted {
-	f := &restarted{}
+func newRestartedFleet(state *fakeStore, turnedAway int) *restartedFleet {
+	f := &restartedFleet{}
 	for i := range restartedBoxes {
-		store := &pagedStore{callsOf: &callsOf{fakeStore: state}, takes: 200 * time.Millisecond, turnedAway: i < turnedAway}
+		store := &slowStore{countingStore: &countingStore{fakeStore: state}, readTime: 200 * time.Millisecond, refuses: i < turnedAway}
 		f.stores = append(f.stores, store)
 		f.boxes = append(f.boxes, &Registry{
 			Store: store, Log: zap.NewNop(),
-			Changed: func() {}, FoundBoxes: func([]Box) {}, Looked: func() {}, StoreLost: func(bool) {},
+			Changed: func() {}, FoundBoxes: func([]Box) {}, Polled: func() {}, StoreLost: func(bool) {},
 			Peers:   func() int { return restartedBoxes - 1 },
 			Follows: func() bool { return i < 2 }, LostElsewhere: func() bool { return false },
-			Turn: func() int { return i },
+			StartRank: func() int { return i },
 		})
 	}
 	return f
 }
 
 // spread has each box that knows all tell a few others, hop by hop.
-func (f *restarted) spread(ctx context.Context) {
+func (f *restartedFleet) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
 		var know []*Registry
 		for _, box := range f.boxes {
@@ -70,19 +70,19 @@
 		for _, box := range f.boxes {
 			if told < 6*len(know) && box.Directory() == nil {
 				from := know[told%len(know)]
-				entries, then, _ := from.Since(0)
+				entries, then, _ := from.EntriesSince(0)
 				_, content := from.Content()
 				box.OfferCatalog(content, "other")
 				box.OfferEntries(valuesOf(entries), then, "other")
 				told++
 			}
 		}
-		time.Sleep(hop)
+		time.Sleep(hopDelay)
 	}
 }
 
 // play runs the fleet until all know, and tells how long that took and how many read the table.
-func (f *restarted) play() (took time.Duration, readers int) {
+func (f *restartedFleet) run() (took time.Duration, readers int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := errgroup.Group{}
 	began := time.Now()
@@ -90,10 +90,10 @@
 		group.Go(func() error { return box.Run(ctx) })
 	}
 	group.Go(func() error {
-		f.spread(ctx)
+		f.gossip(ctx)
 		return nil
 	})
-	for f.lacking() && time.Since(began) < time.Minute {
+	for f.isIncomplete() && time.Since(began) < time.Minute {
 		time.Sleep(10 * time.Millisecond)
 	}
 	took = time.Since(began)
@@ -107,9 +107,9 @@
 	return took, readers
 }
 
-func (f *restarted) lacking() bool {
+func (f *restartedFleet) isIncomplete() bool {
 	for _, box := range f.boxes {
-		if box.uninformed() {
+		if box.isUninitialized() {
 			return true
 		}
 	}
@@ -128,15 +128,15 @@
 		turnedAway int
 		most       int
 	}{
-		{"the first ones read, and the others are told", 0, turnBoxes},
-		{"where the store turns the first ones away, the next ones read", turnBoxes, 2 * turnBoxes},
-		{"and those after them", 2 * turnBoxes, 3 * turnBoxes},
+		{"the first ones read, and the others are told", 0, maxStartReaders},
+		{"where the store turns the first ones away, the next ones read", maxStartReaders, 2 * maxStartReaders},
+		{"and those after them", 2 * maxStartReaders, 3 * maxStartReaders},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(c.name, t, func() {
-				took, readers := newRestarted(newState(), c.turnedAway).play()
+				took, readers := newRestartedFleet(newState(), c.turnedAway).run()
 				So(readers, ShouldBeLessThanOrEqualTo, c.most)
-				So(took, ShouldBeLessThan, 2*time.Second+time.Duration(c.turnedAway/turnBoxes)*turnStep)
+				So(took, ShouldBeLessThan, 2*time.Second+time.Duration(c.turnedAway/maxStartReaders)*minTurnInterval)
 			})
 		})
 	}
@@ -153,19 +153,19 @@
 		lost  int
 		most  int
 	}{
-		{"the others wait for the first ones, however slow", 20 * time.Second, 0, turnBoxes},
-		{"others stand in for those that the store turns away", 5 * time.Second, 3, turnBoxes + 3},
+		{"the others wait for the first ones, however slow", 20 * time.Second, 0, maxStartReaders},
+		{"others stand in for those that the store turns away", 5 * time.Second, 3, maxStartReaders + 3},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(c.name, t, func() {
 				state := &fakeStore{state: fakeState{config: []byte("version 1")}}
 				state.change(func(s *fakeState) { s.put("a", 1) })
-				f := newRestarted(state, c.lost)
+				f := newRestartedFleet(state, c.lost)
 				for i, box := range f.boxes {
-					f.stores[i].takes = c.takes
-					box.Ahead = func() int { return max(0, i-c.lost) }
+					f.stores[i].readTime = c.takes
+					box.LiveAhead = func() int { return max(0, i-c.lost) }
 				}
-				took, readers := f.play()
+				took, readers := f.run()
 				So(readers, ShouldBeLessThanOrEqualTo, c.most)
 				So(took, ShouldBeLessThan, c.takes+3*time.Second)
 			})
--- a/pkg/registry/store.go
+++ b/pkg/registry/store.go
@@ -25,7 +25,7 @@
 	Held bool
 	// LapsesAt is until when the endpoint of an entry is used that was removed in an outage; the
 	// Version is that of its removal. Zero in entries that are listed, and in those that are Gone.
-	LapsesAt time.Time
+	GraceEnd time.Time
 	Problem  error
 }
 
@@ -102,11 +102,11 @@
 	Announce(ctx context.Context, boxes ...Box) error
 	// Boxes reads the entries of all boxes, or where most is over 0 of that many, such as are
 	// found with little: some, and those from a name on.
-	Boxes(ctx context.Context, from string, most int) ([]ListedBox, error)
+	Boxes(ctx context.Context, from string, limit int) ([]ListedBox, error)
 	// KeptRequests reads the requests under which endpoints ended.
-	KeptRequests(ctx context.Context) ([]KeptRequest, error)
+	ReadQuarantine(ctx context.Context) ([]QuarantinedRequest, error)
 	// KeepRequests writes some of them; those without ends are removed.
-	KeepRequests(ctx context.Context, rows []quarantine.Kept) error
+	WriteQuarantine(ctx context.Context, rows []quarantine.Kept) error
 	// RolloutStatus reads the row about a service.
 	RolloutStatus(ctx context.Context, service string) (RolloutStatus, error)
 	// WriteRolloutStatus writes it if it is still of the version given, and reports whether
--- a/pkg/registry/table.go
+++ b/pkg/registry/table.go
@@ -16,25 +16,25 @@
 	byID      *btree.BTreeG[*Entry]
 	byVersion *btree.BTreeG[*Entry]
 	// texts are the names that many entries share, each kept once.
-	texts map[string]string
+	names map[string]string
 }
 
 // tableDegree is that of the trees.
-const tableDegree = 32
+const btreeDegree = 32
 
 func (t *entryTable) prepare() {
 	if t.byID != nil {
 		return
 	}
-	t.texts = map[string]string{}
-	t.byID = btree.NewG(tableDegree, func(a, b *Entry) bool { return strings.Compare(a.ID, b.ID) < 0 })
-	t.byVersion = btree.NewG(tableDegree, func(a, b *Entry) bool {
+	t.names = map[string]string{}
+	t.byID = btree.NewG(btreeDegree, func(a, b *Entry) bool { return strings.Compare(a.ID, b.ID) < 0 })
+	t.byVersion = btree.NewG(btreeDegree, func(a, b *Entry) bool {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), strings.Compare(a.ID, b.ID)) < 0
 	})
 }
 
 // at returns the entry of an endpoint.
-func (t *entryTable) at(id string) (entry *Entry, ok bool) {
+func (t *entryTable) lookup(id string) (entry *Entry, ok bool) {
 	if t.byID == nil {
 		return nil, false
 	}
@@ -45,7 +45,7 @@
 
 // find returns a copy of it.
 func (t *entryTable) find(id string) (entry Entry, ok bool) {
-	known, ok := t.at(id)
+	known, ok := t.lookup(id)
 	if !ok {
 		return entry, false
 	}
@@ -54,7 +54,7 @@
 
 func (t *entryTable) put(entry Entry) {
 	t.prepare()
-	entry.Service, entry.Zone, entry.Release = t.text(entry.Service), t.text(entry.Zone), t.text(entry.Release)
+	entry.Service, entry.Zone, entry.Release = t.intern(entry.Service), t.intern(entry.Zone), t.intern(entry.Release)
 	if before, had := t.byID.ReplaceOrInsert(&entry); had {
 		t.byVersion.Delete(before)
 	}
@@ -62,11 +62,11 @@
 }
 
 // text is the one copy of a name.
-func (t *entryTable) text(name string) string {
-	if known, ok := t.texts[name]; ok {
+func (t *entryTable) intern(name string) string {
+	if known, ok := t.names[name]; ok {
 		return known
 	}
-	t.texts[name] = name
+	t.names[name] = name
 	return name
 }
 
