--- a/cmd/quaybench/soak/deadly.go
+++ b/cmd/quaybench/soak/deadly.go
@@ -118,7 +118,7 @@
 		if w.boxTroubleDuring(runs[0].Began, runs[len(runs)-1].Began) {
 			continue
 		}
-		if ended := enginesEnded(runs); ended > quarantine.MostEnds {
+		if ended := enginesEnded(runs); ended > quarantine.MaxEnds {
 			broken = append(broken, fmt.Sprintf("%q ended %d engines", body, ended))
 		}
 		if late := sentLate(runs); late > moreSends {
@@ -144,10 +144,10 @@
 func sentLate(runs []standin.Run) (late int) {
 	ended := slices.DeleteFunc(slices.Clone(runs), func(run standin.Run) bool { return run.Ended.IsZero() })
 	slices.SortFunc(ended, func(a, b standin.Run) int { return cmp.Compare(a.Ended.UnixNano(), b.Ended.UnixNano()) })
-	if len(ended) < quarantine.MostEnds {
+	if len(ended) < quarantine.MaxEnds {
 		return 0
 	}
-	third := ended[quarantine.MostEnds-1].Ended
+	third := ended[quarantine.MaxEnds-1].Ended
 	for _, run := range runs {
 		if run.Began.After(third.Add(contactBound)) {
 			late++
--- a/pkg/dispatch/allowed.go
+++ b/pkg/dispatch/allowed.go
@@ -16,7 +16,7 @@
 	if p.rests[router] == nil {
 		p.rests[router] = &lifecycle.Rests{}
 	}
-	return p.rests[router].Ask(rest, now)
+	return p.rests[router].Add(rest, now)
 }
 
 // Knows tells whether an engine is one of the pool's.
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -46,7 +46,7 @@
 	}
 	// Some engines have ended, under other requests.
 	for i := range 300 {
-		p.Ledger.Note(fingerprintOf("other", fmt.Sprint(i)), quarantine.LifeOf("llm", fmt.Sprint(i%10), 0), now)
+		p.Ledger.RecordEnd(fingerprintOf("other", fmt.Sprint(i)), quarantine.InstanceOf("llm", fmt.Sprint(i%10), 0), now)
 	}
 	for b.Loop() {
 		p.Decide(now)
--- a/pkg/dispatch/deadly_test.go
+++ b/pkg/dispatch/deadly_test.go
@@ -85,7 +85,7 @@
 }
 
 func fingerprintOf(customer, body string) quarantine.Fingerprint {
-	return quarantine.Of([]byte("POST"), []byte("/"), []byte(customer), []byte(body))
+	return quarantine.FingerprintOf([]byte("POST"), []byte("/"), []byte(customer), []byte(body))
 }
 
 // innocents come all the time, at a rate a second; a part of them may be repeated. It returns their number.
@@ -122,7 +122,7 @@
 	for s.dead[ask.box] {
 		ask.box = s.rand.IntN(len(s.ledgers))
 	}
-	if s.ledgers[ask.box].Judge(ask.Fingerprint, s.now).Quarantined() {
+	if s.ledgers[ask.box].Check(ask.Fingerprint, s.now).Quarantined() {
 		if !ask.kills {
 			s.refusedInnocent++
 		}
@@ -198,7 +198,7 @@
 		return
 	}
 	s.ends[by.Fingerprint]++
-	life := quarantine.LifeOf("llm", engine, 0)
+	life := quarantine.InstanceOf("llm", engine, 0)
 	s.down[engine] = true
 	went := s.running[engine]
 	delete(s.running, engine)
@@ -207,7 +207,7 @@
 		if !ask.kills {
 			s.lost++
 		}
-		end := s.ledgers[ask.box].Note(ask.Fingerprint, life, s.now)
+		end := s.ledgers[ask.box].RecordEnd(ask.Fingerprint, life, s.now)
 		s.pool.End(ask.ID, Ended{End: end}, s.now)
 		s.again(ask)
 	}
@@ -326,7 +326,7 @@
 			s.at(s.now.Add(time.Duration(rapid.IntRange(1, 15000).Draw(t, "at"))*time.Millisecond), func() { s.lose(count) })
 		}
 		s.until(s.now.Add(time.Hour))
-		if most := s.mostEnds(); most > quarantine.MostEnds {
+		if most := s.mostEnds(); most > quarantine.MaxEnds {
 			t.Fatalf("a request ended %d engines", most)
 		}
 	})
@@ -395,7 +395,7 @@
 		}
 		t.Logf("%-48s %d requests: ends mean %.2f, most %d; others lost with an engine %.1f a request; bystanders refused %d of %d",
 			way.name, out.requests, float64(out.ends)/float64(out.requests), out.most, float64(out.lost)/float64(out.requests), out.refused, out.innocents)
-		if way.shared && way.bounded && out.most > quarantine.MostEnds {
+		if way.shared && way.bounded && out.most > quarantine.MaxEnds {
 			t.Errorf("a request ended %d engines", out.most)
 		}
 	}
--- a/pkg/dispatch/endpoints.go
+++ b/pkg/dispatch/endpoints.go
@@ -23,7 +23,7 @@
 			e = newEngine(endpoint, p.service.Engine.CacheTokens)
 			changed = true
 			if !first {
-				e.life.Suppose(lifecycle.Started, now.Add(p.bound.For))
+				e.life.AssumeCold(lifecycle.Started, now.Add(p.bound.Duration))
 			}
 		case endpoint.Outdated(&e.Facts):
 			engines[endpoint.ID] = e
@@ -43,7 +43,7 @@
 func (p *Pool) teach(e *engine, endpoint route.Endpoint, now time.Time) {
 	e.Endpoint = endpoint
 	e.bound = p.bound
-	e.life.Learn(endpoint.Facts, p.bound, now)
+	e.life.Update(endpoint.Facts, p.bound, now)
 	if e.Slots == 0 {
 		e.Slots = p.service.Engine.Slots
 	}
@@ -77,7 +77,7 @@
 		endpoint := e.Endpoint
 		endpoint.Born = born
 		e = newEngine(endpoint, p.service.Engine.CacheTokens)
-		e.life.Suppose(lifecycle.Started, now.Add(p.bound.For))
+		e.life.AssumeCold(lifecycle.Started, now.Add(p.bound.Duration))
 		p.teach(e, endpoint, now)
 		p.engines[id] = e
 		p.order()
--- a/pkg/dispatch/engine.go
+++ b/pkg/dispatch/engine.go
@@ -18,7 +18,7 @@
 	// hash is of its ID.
 	hash uint64
 	// life says whether and how much may be sent; bound is what it takes while cold.
-	life     lifecycle.Life
+	life     lifecycle.State
 	bound    lifecycle.Bound
 	capacity int
 
@@ -188,7 +188,7 @@
 		e.progressAt, e.readFrom = now, now
 	}
 	e.seen = view{}
-	e.life.NoteSent(now)
+	e.life.RecordSent(now)
 	e.unread = append(e.unread, g)
 	e.running++
 	e.own += g.ask.Last().Tokens + g.ask.Output()
@@ -304,7 +304,7 @@
 	e.failures++
 	e.suspectUntil, e.failedAt = now.Add(rest), now
 	// It may be back after a new start, before its entry says so.
-	e.life.Suppose(lifecycle.Returned, e.suspectUntil.Add(e.bound.For))
+	e.life.AssumeCold(lifecycle.Returned, e.suspectUntil.Add(e.bound.Duration))
 }
 
 func (e *engine) succeed() {
--- a/pkg/dispatch/exposure.go
+++ b/pkg/dispatch/exposure.go
@@ -22,7 +22,7 @@
 		p.exposed[f] = exposure{}
 	}
 	p.exposed[f][g.engine]++
-	if ends := p.Ledger.Judge(f, g.at).Ends; ends > 0 {
+	if ends := p.Ledger.Check(f, g.at).Ends; ends > 0 {
 		g.engine.suspects[f] = ends
 	}
 }
@@ -68,7 +68,7 @@
 	if ask.Fingerprint.IsZero() {
 		return reach{wider: true}
 	}
-	verdict := p.Ledger.Judge(ask.Fingerprint, now)
+	verdict := p.Ledger.Check(ask.Fingerprint, now)
 	at := p.exposed[ask.Fingerprint]
 	if verdict.Quarantined() {
 		return reach{}
@@ -101,7 +101,7 @@
 		if !takes && now.Sub(e.failedAt) >= accountTime {
 			continue
 		}
-		if ends > 0 && p.Ledger.Ended(ask.Fingerprint, e.start()) {
+		if ends > 0 && p.Ledger.HasEnded(ask.Fingerprint, e.start()) {
 			continue
 		}
 		if own := e.weight(ask.Fingerprint); first == nil || own > weight {
@@ -123,7 +123,7 @@
 }
 
 // start is the life of the engine that the pool knows.
-func (e *engine) start() quarantine.Life { return quarantine.LifeOf(e.Service, e.ID, e.Born) }
+func (e *engine) start() quarantine.Instance { return quarantine.InstanceOf(e.Service, e.ID, e.Born) }
 
 // takes tells whether the request may go to an engine.
 func (r reach) takes(e *engine) bool { return r.wider || e == r.first || r.at[e] > 0 }
@@ -145,7 +145,7 @@
 // line at each look: 37 microseconds for 400 of them in place of 24 (BenchmarkDecide), so that
 // one that waits as the third engine ends is refused within milliseconds.
 func (p *Pool) quarantined(ask *Ask, now time.Time) bool {
-	return !ask.Fingerprint.IsZero() && p.Ledger.Judge(ask.Fingerprint, now).Quarantined()
+	return !ask.Fingerprint.IsZero() && p.Ledger.Check(ask.Fingerprint, now).Quarantined()
 }
 
 // noteEnded takes the account of a router that an engine ended while it ran a request.
@@ -154,6 +154,6 @@
 	p.Ledger.Merge([]quarantine.End{how.End}, "", now)
 	f := how.End.Fingerprint
 	for e := range p.exposed[f] {
-		e.suspects[f] = p.Ledger.Judge(f, now).Ends
+		e.suspects[f] = p.Ledger.Check(f, now).Ends
 	}
 }
--- a/pkg/dispatch/exposure_test.go
+++ b/pkg/dispatch/exposure_test.go
@@ -31,7 +31,7 @@
 		for i := range 9 {
 			p.Submit(ask(i), start)
 		}
-		So(engines(p.Decide(start)), ShouldHaveLength, quarantine.MostEnds-1)
+		So(engines(p.Decide(start)), ShouldHaveLength, quarantine.MaxEnds-1)
 		other := ask(100)
 		other.Fingerprint = fingerprintOf("a", "other")
 		So(submit(p, other, start), ShouldHaveLength, 1)
@@ -79,7 +79,7 @@
 		for i := range 2 {
 			grant := submit(p, ask(i), start)[0].(Grant)
 			rest(p, grant.Endpoint)
-			p.End(fmt.Sprint(i), Ended{End: quarantine.End{Fingerprint: ask(i).Fingerprint, Life: quarantine.LifeOf("llm", grant.Endpoint, 0), Version: 1}}, start)
+			p.End(fmt.Sprint(i), Ended{End: quarantine.End{Fingerprint: ask(i).Fingerprint, Instance: quarantine.InstanceOf("llm", grant.Endpoint, 0), Version: 1}}, start)
 		}
 		for i := range 4 {
 			p.Submit(ask(10+i), start)
@@ -87,7 +87,7 @@
 		at := engines(p.Decide(start))
 		So(at, ShouldHaveLength, 1)
 		for engine := range at {
-			p.End("10", Ended{End: quarantine.End{Fingerprint: ask(0).Fingerprint, Life: quarantine.LifeOf("llm", engine, 0), Version: 1}}, start)
+			p.End("10", Ended{End: quarantine.End{Fingerprint: ask(0).Fingerprint, Instance: quarantine.InstanceOf("llm", engine, 0), Version: 1}}, start)
 		}
 		decided := submit(p, ask(20), start)
 		So(decided, ShouldHaveLength, 1)
@@ -99,7 +99,7 @@
 		rest(p, "e0")
 		So(submit(p, ask(1), start), ShouldBeEmpty)
 		for i := range 3 {
-			p.Ledger.Note(ask(1).Fingerprint, quarantine.LifeOf("llm", fmt.Sprint(i), 0), start)
+			p.Ledger.RecordEnd(ask(1).Fingerprint, quarantine.InstanceOf("llm", fmt.Sprint(i), 0), start)
 		}
 		So(p.Decide(start.Add(time.Millisecond)), ShouldHaveLength, 1)
 	})
--- a/pkg/dispatch/leaders_test.go
+++ b/pkg/dispatch/leaders_test.go
@@ -126,7 +126,7 @@
 
 func (s *leadersSimulation) come(ask *leadersAsk) {
 	b := ask.box
-	if b.gone || b.ledger.Judge(ask.Fingerprint, s.now).Quarantined() {
+	if b.gone || b.ledger.Check(ask.Fingerprint, s.now).Quarantined() {
 		return
 	}
 	b.waiting[ask.ID] = ask
@@ -204,7 +204,7 @@
 		}
 		return
 	}
-	if b.ledger.Judge(ask.Fingerprint, s.now).Quarantined() {
+	if b.ledger.Check(ask.Fingerprint, s.now).Quarantined() {
 		s.settle(ask, Unused{})
 		return
 	}
@@ -261,7 +261,7 @@
 	engine := by.engine
 	s.ends[by.Fingerprint]++
 	s.down[engine] = true
-	life := quarantine.LifeOf("llm", engine, 0)
+	life := quarantine.InstanceOf("llm", engine, 0)
 	for _, ask := range slices.Clone(s.running[engine]) {
 		s.leave(ask)
 		if !ask.kills {
@@ -272,7 +272,7 @@
 			if b.gone {
 				return
 			}
-			end := b.ledger.Note(ask.Fingerprint, life, s.now)
+			end := b.ledger.RecordEnd(ask.Fingerprint, life, s.now)
 			s.settle(ask, Ended{End: end})
 			s.spread(b)
 		})
@@ -453,7 +453,7 @@
 func TestMostEndsUnderChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, name := playLeaders(rapid.Uint64().Draw(t, "seed"))
-		if most := s.mostEnds(); most > quarantine.MostEnds {
+		if most := s.mostEnds(); most > quarantine.MaxEnds {
 			t.Fatalf("a request ended %d engines: %s", most, name)
 		}
 	})
@@ -475,7 +475,7 @@
 		f.plays++
 		f.most, f.ends = max(f.most, ended), f.ends+ended
 		f.lost, f.served, f.refused = f.lost+s.lost, f.served+s.served, f.refused+s.refused
-		if ended > quarantine.MostEnds {
+		if ended > quarantine.MaxEnds {
 			f.broken++
 		}
 	}
--- a/pkg/dispatch/place.go
+++ b/pkg/dispatch/place.go
@@ -171,9 +171,9 @@
 // requests may have started again by the time that it goes on.
 func (p *Pool) usable(e *engine, now time.Time) bool {
 	if e.stalled(now) {
-		e.life.Suppose(lifecycle.Returned, now.Add(e.bound.For))
+		e.life.AssumeCold(lifecycle.Returned, now.Add(e.bound.Duration))
 	}
-	return e.usable(now) && e.life.Takes(e.bound, p.ColdPart, now)
+	return e.usable(now) && e.life.CanSend(e.bound, p.ColdPart, now)
 }
 
 // findLeast is the best that is seen of any engine; an hour of wait where none may
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -180,7 +180,7 @@
 }
 
 // BoundsCold tells whether cold engines take only so much.
-func (p *Pool) BoundsCold() bool { return p.bound.Most > 0 }
+func (p *Pool) BoundsCold() bool { return p.bound.MaxPerSecond > 0 }
 
 // Submit puts a request in line. One that is in line already is asked for anew, by
 // another way or as the verdict was lost: the later way counts, and a grant that the
--- a/pkg/dispatch/word_simulation_test.go
+++ b/pkg/dispatch/word_simulation_test.go
@@ -271,14 +271,14 @@
 }
 
 func (s *wordSimulation) hearRest(box *wordBox, rest lifecycle.Rest) {
-	box.rests.Ask(rest, s.now)
+	box.rests.Add(rest, s.now)
 	if s.way != told {
 		return
 	}
 	s.pool.Rest(box.number, rest, s.now)
 	for _, other := range s.boxes {
 		if s.bindsAll && other != box {
-			other.rests.Ask(rest, s.now)
+			other.rests.Add(rest, s.now)
 			s.pool.Rest(other.number, rest, s.now)
 		}
 	}
--- a/pkg/gateway/floods.go
+++ b/pkg/gateway/admission.go
@@ -8,30 +8,30 @@
 )
 
 // enter notes that a request of a customer waits, unless it is to be refused.
-func (s *scheduler) enter(customer string) dispatch.Admission {
+func (s *scheduler) enterQueue(customer string) dispatch.Admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	return s.floods.Enter(customer, s.gateway.load.busy(now), now)
+	return s.floods.Enter(customer, s.gateway.load.isBusy(now), now)
 }
 
 // refusesUnasked refuses a request that would not be asked for; ok is false where it may
 // wait. It costs a third less of the router's own work than refusing it after its caller's
 // connection is watched (profile of refusals at one router on loopback), and a router
 // whose processor time is used up by refusals of one customer asks for nothing.
-func (s *scheduler) refusesUnasked(ask *dispatch.Ask) (v verdict, ok bool) {
+func (s *scheduler) refuseEarly(ask *dispatch.Ask) (v verdict, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
-	why := s.floods.Judge(ask.Customer, s.gateway.load.busy(now), now)
+	why := s.floods.Judge(ask.Customer, s.gateway.load.isBusy(now), now)
 	s.mu.Unlock()
 	if why == dispatch.Admitted {
 		return v, false
 	}
-	return s.turnHere(why, ask), true
+	return s.refuseLocally(why, ask), true
 }
 
 // leave notes that it waits no more.
-func (s *scheduler) leave(customer string, v verdict) {
+func (s *scheduler) leaveQueue(customer string, v verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.floods.Leave(customer, v.endpoint == "" && v.overShare, time.Now())
@@ -39,10 +39,10 @@
 
 // comeBackElsewhere is when a request that an overloaded box refuses had better
 // come to another one, spread over as much again.
-const comeBackElsewhere = 100 * time.Millisecond
+const otherBoxRetryDelay = 100 * time.Millisecond
 
 // turnHere refuses a request without asking.
-func (s *scheduler) turnHere(why dispatch.Admission, ask *dispatch.Ask) verdict {
+func (s *scheduler) refuseLocally(why dispatch.Admission, ask *dispatch.Ask) verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recordLocalRefusal(ask.Customer, ask.Cost(), why)
@@ -53,6 +53,6 @@
 		v.retryAfter = wait + rand.N(wait+1)
 		return v
 	}
-	v.retryAfter = comeBackElsewhere + rand.N(comeBackElsewhere)
+	v.retryAfter = otherBoxRetryDelay + rand.N(otherBoxRetryDelay)
 	return v
 }
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -22,15 +22,15 @@
 	finish func(outcome)
 	// settle does so with the time that the answer took; it is only set for plain
 	// endpoints.
-	settle func(how outcome, took time.Duration)
+	finishTimed func(how outcome, took time.Duration)
 	// begin notes the first event; it is only set for engines.
 	begin func()
 	// granted is what was predicted, and at when it was granted; both are only
 	// set for engines.
-	granted verdict
-	at      time.Time
+	granted   verdict
+	grantedAt time.Time
 	// suspended is the sum of the suspensions that were noticed before it was chosen.
-	suspended time.Duration
+	suspendedTotal time.Duration
 }
 
 // attempt sends the request to an endpoint and waits for the head of the
@@ -40,20 +40,20 @@
 		// A received request can always be queued.
 		_ = c.life.Advance(request.Queued)
 	}
-	out := c.compose(to.Endpoint, lastEvent)
-	ctx := c.guarded(to)
+	out := c.buildRequest(to.Endpoint, lastEvent)
+	ctx := c.guardContext(to)
 	reply, err := c.gateway.client(to.Address).Do(ctx, &endpoint.Call{
 		Request: out,
 		Sure:    !c.route.Repeatable,
 		Sending: func() error {
 			c.gateway.checkSuspension()
-			if c.gateway.waking.isOutdated(to.suspended) || !c.gateway.admits(&to.Endpoint) {
-				return errTakenBack
+			if c.gateway.suspensions.isOutdated(to.suspendedTotal) || !c.gateway.admits(&to.Endpoint) {
+				return errNotAdmitted
 			}
-			if c.gateway.ledger.Judge(c.fingerprint, time.Now()).Quarantined() {
+			if c.gateway.ledger.Check(c.fingerprint, time.Now()).Quarantined() {
 				return errQuarantined
 			}
-			c.booked = booking{}
+			c.reserved = reservation{}
 			return c.life.Advance(request.Sending)
 		},
 		Belongs: func(head *fasthttp.ResponseHeader) bool {
@@ -91,7 +91,7 @@
 
 // compose makes the request for an endpoint: all as the caller sent it, but for
 // the headers that concern a connection or are ours.
-func (c *call) compose(to route.Endpoint, lastEvent string) *fasthttp.Request {
+func (c *call) buildRequest(to route.Endpoint, lastEvent string) *fasthttp.Request {
 	out := fasthttp.AcquireRequest()
 	c.http.Request.Header.CopyTo(&out.Header)
 	out.Header.DisableNormalizing()
@@ -99,7 +99,7 @@
 	c.gateway.Translator.PrepareRequest(&out.Header, Delivery{
 		Endpoint:  to.ID,
 		Customer:  c.customer,
-		Remaining: c.left(),
+		Remaining: c.remaining(),
 		LastEvent: lastEvent,
 	})
 	out.SetBodyRaw(c.http.Request.Body())
@@ -126,14 +126,14 @@
 
 // next decides what follows a failed attempt: nil for another one, or the final
 // answer. The attempt is settled.
-func (c *call) next(to destination, err error) *request.Refusal {
-	how, again := c.judge(to, err)
+func (c *call) handleFailure(to destination, err error) *request.Refusal {
+	how, retry := c.classifyFailure(to, err)
 	to.finish(how)
-	if how.blames() {
+	if how.isFailure() {
 		c.gateway.rollouts.recordAnswer(&to.Endpoint, c.route.Name, true, 0)
 	}
 	c.excluded = append(c.excluded, to.ID)
-	if errors.Is(err, errTakenBack) {
+	if errors.Is(err, errNotAdmitted) {
 		c.gateway.Metrics.HandedBack()
 	}
 	c.log().Info("attempt failed",
@@ -144,19 +144,19 @@
 		zap.Int("Attempts", c.life.Attempts()),
 		zap.String("Run", string(c.life.Run())),
 		zap.Duration("Age", time.Since(c.arrived)),
-		zap.Bool("Again", again),
+		zap.Bool("Again", retry),
 		zap.Error(err))
 	if c.ctx.Err() != nil {
-		return c.ended()
+		return c.endedRefusal()
 	}
-	if again {
+	if retry {
 		return nil
 	}
-	if refusal := c.refuseDeadly(); refusal != nil && c.life.Run() == request.NotRun {
+	if refusal := c.refuseQuarantined(); refusal != nil && c.life.Run() == request.NotRun {
 		return refusal
 	}
 	if c.life.Run() == request.NotRun {
-		return notRun(request.NoEndpoint, "no endpoint took the request", comeBackAfterFailure())
+		return notRun(request.NoEndpoint, "no endpoint took the request", failureRetryDelay())
 	}
 	return &request.Refusal{
 		Code:    request.EndpointFailed,
@@ -167,11 +167,11 @@
 
 // mostUnreachable bounds the endpoints that are tried in vain for a connection, or that
 // get nothing any more when it stands.
-const mostUnreachable = 3
+const maxUnreachable = 3
 
 // judge tells what a failure says of the endpoint, and whether the request may
 // go to another one.
-func (c *call) judge(to destination, err error) (how outcome, again bool) {
+func (c *call) classifyFailure(to destination, err error) (how outcome, retry bool) {
 	var unreached *endpoint.DialError
 	var declined *declinedError
 	switch {
@@ -179,35 +179,35 @@
 		return outcomeUnknown, false
 	case errors.Is(err, errQuarantined):
 		return outcomeUnused, false
-	case errors.Is(err, errTakenBack):
+	case errors.Is(err, errNotAdmitted):
 		c.unreachable++
-		return outcomeUnused, c.unreachable < mostUnreachable
+		return outcomeUnused, c.unreachable < maxUnreachable
 	case errors.As(err, &unreached):
 		c.unreachable++
-		return outcomeUnreachable, c.unreachable < mostUnreachable
+		return outcomeUnreachable, c.unreachable < maxUnreachable
 	case errors.As(err, &declined):
-		return outcomeFull, c.mayRepeat()
+		return outcomeFull, c.reserveRetry()
 	default:
 		// What ended the endpoint is known before it may be sent again.
-		how = c.outcomeOf(to, err)
-		return how, c.route.Repeatable && c.mayRepeat()
+		how = c.classifyBroken(to, err)
+		return how, c.route.Repeatable && c.reserveRetry()
 	}
 }
 
 // mayRepeat books another attempt, if the route and the budget allow it.
-func (c *call) mayRepeat() bool {
-	if c.life.Attempts() >= c.route.MaxAttempts || c.left() < leastTime {
+func (c *call) reserveRetry() bool {
+	if c.life.Attempts() >= c.route.MaxAttempts || c.remaining() < minRetryTime {
 		return false
 	}
-	if c.gateway.ledger.Judge(c.fingerprint, time.Now()).Quarantined() {
+	if c.gateway.ledger.Check(c.fingerprint, time.Now()).Quarantined() {
 		return false
 	}
-	booked, ok := c.gateway.budget.take(c.service.Name)
+	reserved, ok := c.gateway.budget.take(c.service.Name)
 	if !ok {
 		c.log().Info("retry budget spent", zap.String("Request", c.ID), zap.String("Service", c.service.Name))
 		return false
 	}
-	c.booked = booked
+	c.reserved = reserved
 	if c.life.State() >= request.Sending {
 		// Only what may be repeated, or is proved not run, comes here.
 		_ = c.life.Return(c.route.Repeatable)
@@ -216,31 +216,31 @@
 }
 
 // unbook gives a repeated send back that is not made, as no endpoint takes the request.
-func (c *call) unbook() {
-	if c.booked != (booking{}) {
-		c.gateway.budget.giveBack(c.service.Name, c.booked)
-		c.booked = booking{}
+func (c *call) releaseRetry() {
+	if c.reserved != (reservation{}) {
+		c.gateway.budget.refund(c.service.Name, c.reserved)
+		c.reserved = reservation{}
 	}
 }
 
 // leastTime is the time without which another attempt is of no use.
-const leastTime = 20 * time.Millisecond
+const minRetryTime = 20 * time.Millisecond
 
 // comeBackAfterFailure is when an endpoint that failed is likely to be left out,
 // spread so that callers do not return together.
-func comeBackAfterFailure() time.Duration {
+func failureRetryDelay() time.Duration {
 	return 200*time.Millisecond + rand.N(200*time.Millisecond)
 }
 
 // ended is the final answer when the deadline, the route's time limit, the
 // caller or a stop ended the request.
-func (c *call) ended() *request.Refusal {
+func (c *call) endedRefusal() *request.Refusal {
 	cause := context.Cause(c.ctx)
 	switch {
 	case errors.Is(cause, errCallerGone):
 		return &request.Refusal{Code: request.CallerGone, Message: cause.Error(), Run: c.life.Run()}
 	case c.life.Run() == request.NotRun:
-		return notRun(request.NotInTime, cause.Error(), comeBackAfterFailure())
+		return notRun(request.NotInTime, cause.Error(), failureRetryDelay())
 	default:
 		return &request.Refusal{Code: request.DeadlinePassed, Message: cause.Error(), Run: c.life.Run()}
 	}
--- a/pkg/gateway/lives.go
+++ b/pkg/gateway/attempts.go
@@ -14,17 +14,17 @@
 
 // errTakenBack ends an attempt of which nothing was sent, as its endpoint has meanwhile
 // become one that gets nothing.
-var errTakenBack = errors.New("the endpoint gets nothing any more")
+var errNotAdmitted = errors.New("the endpoint gets nothing any more")
 
 // lives are the attempts under way, so that those at an endpoint that starts again can be
 // ended. Without it a stream at an engine that came back behind a cut waited for its
 // caller's patience, seconds long.
-type lives struct {
+type activeAttempts struct {
 	mu       sync.Mutex
 	attempts map[*guard]struct{}
 }
 
-func (l *lives) enter(g *guard) {
+func (l *activeAttempts) add(g *guard) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.attempts == nil {
@@ -33,7 +33,7 @@
 	l.attempts[g] = struct{}{}
 }
 
-func (l *lives) leave(g *guard) {
+func (l *activeAttempts) remove(g *guard) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.attempts, g)
@@ -41,7 +41,7 @@
 
 // end ends the attempts at endpoints that have started again by a directory. Those that
 // are gone from it may still answer what they have.
-func (l *lives) end(directory *route.Directory) {
+func (l *activeAttempts) cancelRestarted(directory *route.Directory) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for attempt := range l.attempts {
@@ -62,7 +62,7 @@
 }
 
 // others counts the attempts under way at endpoints of a service, but for those of a version.
-func (l *lives) others(service, release string) (count int) {
+func (l *activeAttempts) countOtherReleases(service, release string) (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for attempt := range l.attempts {
@@ -74,7 +74,7 @@
 }
 
 // running are the endpoints at which attempts with a fingerprint are under way.
-func (l *lives) running(f quarantine.Fingerprint) map[string]bool {
+func (l *activeAttempts) endpointsRunning(f quarantine.Fingerprint) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	found := map[string]bool{}
--- a/pkg/gateway/budget_test.go
+++ b/pkg/gateway/budget_test.go
@@ -28,13 +28,13 @@
 	const step = 250 * time.Millisecond
 	settings := Settings{RetryRatio: 0.2, RetryExtra: 58, RetryWindow: 10 * time.Second}
 	// Boxes draw their lots independently; rapid would also draw all of them alike.
-	lots := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "lots")))
+	draws := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "lots")))
 	fleet := make([]*retryBudget, boxes)
 	for i := range fleet {
 		fleet[i] = &retryBudget{
-			settings: settings,
-			peers:    func() int { return boxes - 1 },
-			lot:      lots.Float64(),
+			settings:   settings,
+			peers:      func() int { return boxes - 1 },
+			randomDraw: draws.Float64(),
 		}
 	}
 	unsent := rapid.Float64Range(0, 1).Draw(t, "unsent")
@@ -49,8 +49,8 @@
 			if !ok {
 				continue
 			}
-			if lots.Float64() < unsent {
-				fleet[n%boxes].giveBack("s", taken)
+			if draws.Float64() < unsent {
+				fleet[n%boxes].refund("s", taken)
 				continue
 			}
 			repeats[at]++
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -20,9 +20,9 @@
 
 // The reasons for which a request ends before its answer.
 var (
-	errCallerGone = errors.New("the caller went away")
-	errDeadline   = errors.New("the caller's deadline passed")
-	errRouteTime  = errors.New("the route's time limit passed")
+	errCallerGone   = errors.New("the caller went away")
+	errDeadline     = errors.New("the caller's deadline passed")
+	errRouteTimeout = errors.New("the route's time limit passed")
 )
 
 // call is one caller's request on its way through the gateway.
@@ -33,13 +33,13 @@
 	arrived time.Time
 	// deadline is when the answer is of no use any more, to the caller or by the
 	// route's time limit, but for suspensions: when it came, they added up to suspended.
-	deadline  time.Time
-	suspended time.Duration
+	deadline       time.Time
+	suspendedTotal time.Duration
 	// late is the reason that the deadline gives.
-	late     error
-	route    *route.Route
-	service  route.Service
-	customer string
+	deadlineCause error
+	route         *route.Route
+	service       route.Service
+	customer      string
 	// fingerprint is what repeats of the request have in common, and end the account of
 	// the last endpoint that ended under it.
 	fingerprint quarantine.Fingerprint
@@ -58,7 +58,7 @@
 	// unreachable counts endpoints that took no connection.
 	unreachable int
 	// booked is a repeated send that was booked and is not made yet, if any.
-	booked booking
+	reserved reservation
 	// guard ends the current attempt if it stalls.
 	guard *guard
 	// streaming is set once the answer's stream has the call; it then ends it.
@@ -69,11 +69,11 @@
 func (g *Gateway) serve(http *fasthttp.RequestCtx) {
 	g.inFlight.Add(1)
 	c := &call{gateway: g, http: http, arrived: time.Now()}
-	g.arrivedAfter.Store(int64(c.arrived.Sub(g.startedAt)))
+	g.lastArrival.Store(int64(c.arrived.Sub(g.startedAt)))
 	if refusal := c.run(); refusal != nil {
-		c.refuse(c.truthful(refusal))
+		c.refuse(c.withEarlierAttempts(refusal))
 	}
-	if g.stopping.Load() || g.load.sheds(time.Now()) {
+	if g.stopping.Load() || g.load.isShedding(time.Now()) {
 		http.SetConnectionClose()
 	}
 	if !c.streaming {
@@ -83,7 +83,7 @@
 
 // truthful replaces a refusal that promises that nothing was run, where an
 // earlier attempt may have run.
-func (c *call) truthful(refusal *request.Refusal) *request.Refusal {
+func (c *call) withEarlierAttempts(refusal *request.Refusal) *request.Refusal {
 	if refusal.Run != request.NotRun || c.life.Run() == request.NotRun {
 		return refusal
 	}
@@ -101,7 +101,7 @@
 		return
 	}
 	c.guard.stop()
-	c.gateway.waking.remove(c)
+	c.gateway.suspensions.remove(c)
 	c.cancel(nil)
 	conn := c.http.Conn()
 	// The watcher has to be gone before the connection is read again.
@@ -128,20 +128,20 @@
 		return notRun(request.TooLarge, "the body is larger than "+strconv.Itoa(limit)+" bytes", 0)
 	}
 	if c.gateway.refusing.Load() || (c.route.Streaming && c.gateway.refusingStreams.Load()) {
-		return notRun(request.NotReady, "this box is stopping", comeBackElsewhere)
+		return notRun(request.NotReady, "this box is stopping", otherBoxRetryDelay)
 	}
 	c.gateway.budget.earn(c.service.Name)
 	if refusal := c.refuseLocally(); refusal != nil {
 		return refusal
 	}
 	header := &c.http.Request.Header
-	c.fingerprint = quarantine.Of(header.Method(), header.RequestURI(), []byte(c.customer), c.http.Request.Body())
-	if refusal := c.refuseDeadly(); refusal != nil {
+	c.fingerprint = quarantine.FingerprintOf(header.Method(), header.RequestURI(), []byte(c.customer), c.http.Request.Body())
+	if refusal := c.refuseQuarantined(); refusal != nil {
 		return refusal
 	}
 	c.gateway.checkSuspension()
-	if c.gateway.waking.refreshing.Load() {
-		return notRun(request.NotReady, "the machine of this box was suspended, and it looks again", comeBackElsewhere)
+	if c.gateway.suspensions.refreshing.Load() {
+		return notRun(request.NotReady, "the machine of this box was suspended, and it looks again", otherBoxRetryDelay)
 	}
 	c.watch()
 	if c.service.Engine != nil && c.Prompt != nil {
@@ -175,8 +175,8 @@
 	}
 	c.service = service
 	var served bool
-	if c.zones, served = c.gateway.Settings.homeZones(homes...); !served {
-		return notRun(request.NoEndpoint, "no availability zone lies in a region in which the request may be served", comeBackNowhere)
+	if c.zones, served = c.gateway.Settings.allowedZones(homes...); !served {
+		return notRun(request.NoEndpoint, "no availability zone lies in a region in which the request may be served", noRegionRetryDelay)
 	}
 	return nil
 }
@@ -196,21 +196,21 @@
 	cause := errDeadline
 	wait := c.Timeout
 	if wait == 0 || (c.route.Timeout > 0 && c.route.Timeout < wait) {
-		wait, cause = c.route.Timeout, errRouteTime
+		wait, cause = c.route.Timeout, errRouteTimeout
 	}
 	if wait == 0 {
 		wait = maxRequestTimeout
 	}
-	c.deadline, c.late = c.arrived.Add(wait), cause
-	c.suspended = c.gateway.waking.Noticed()
-	ctx, cancel := context.WithCancelCause(c.gateway.over)
+	c.deadline, c.deadlineCause = c.arrived.Add(wait), cause
+	c.suspendedTotal = c.gateway.suspensions.Noticed()
+	ctx, cancel := context.WithCancelCause(c.gateway.workContext)
 	var stopTimer context.CancelFunc
 	c.ctx, stopTimer = context.WithDeadlineCause(ctx, c.deadline, cause)
 	c.cancel = func(cause error) {
 		cancel(cause)
 		stopTimer()
 	}
-	c.gateway.waking.add(c)
+	c.gateway.suspensions.add(c)
 	conn := c.http.Conn()
 	c.watcher.Go(func() error {
 		if endpoint.AwaitClose(conn) {
@@ -221,13 +221,13 @@
 }
 
 // left is the time in which the answer is of use.
-func (c *call) left() time.Duration {
-	return time.Until(c.deadline) - (c.gateway.waking.Noticed() - c.suspended)
+func (c *call) remaining() time.Duration {
+	return time.Until(c.deadline) - (c.gateway.suspensions.Noticed() - c.suspendedTotal)
 }
 
 // endAfter ends the request after a time, where it goes on for so long.
 func (c *call) endAfter(length time.Duration) {
-	time.AfterFunc(length, func() { c.cancel(c.late) })
+	time.AfterFunc(length, func() { c.cancel(c.deadlineCause) })
 }
 
 func (c *call) log() *zap.Logger {
@@ -271,7 +271,7 @@
 }
 
 // passHead starts the caller's answer with the endpoint's status and headers.
-func (c *call) passHead(reply *endpoint.Reply) {
+func (c *call) forwardHead(reply *endpoint.Reply) {
 	response := &c.http.Response
 	reply.Head.CopyTo(&response.Header)
 	response.Header.DisableNormalizing()
@@ -296,14 +296,14 @@
 
 // passWhole passes on an answer that is read whole before any of it is sent, so
 // that a cut one can still be told as failed.
-func (c *call) passWhole(reply *endpoint.Reply) error {
+func (c *call) forwardWhole(reply *endpoint.Reply) error {
 	body, err := reply.Whole(maxAnswerBytes)
 	if err != nil {
 		reply.Close()
 		return &endpoint.NoAnswerError{Address: c.route.Name, Err: err}
 	}
 	reply.Close()
-	c.passHead(reply)
+	c.forwardHead(reply)
 	c.http.Response.SetBodyRaw(body)
 	return nil
 }
--- a/pkg/gateway/endpoints.go
+++ b/pkg/gateway/endpoints.go
@@ -10,7 +10,7 @@
 )
 
 // changed brings the pools in line with a new catalog or directory.
-func (g *Gateway) changed() {
+func (g *Gateway) applyChanges() {
 	g.announceState()
 	g.rollouts.follow(g.registry.Orders())
 	g.mu.Lock()
@@ -24,7 +24,7 @@
 	g.catalog = catalog
 	for name, service := range catalog.Services {
 		if service.Engine == nil {
-			g.learnPlain(service, directory, changes, renewed)
+			g.updatePlain(service, directory, changes, renewed)
 			continue
 		}
 		p := g.pools[name]
@@ -39,7 +39,7 @@
 			p.configure(service, catalog.Limits.TokensPerSecond)
 		}
 	}
-	g.lives.end(directory)
+	g.attempts.cancelRestarted(directory)
 	for i := range changes {
 		g.closeConnections(&changes[i])
 	}
@@ -47,22 +47,22 @@
 
 // learnPlain has what changed of a plain service's endpoints judged, or all of them where the
 // configuration is another one.
-func (g *Gateway) learnPlain(service route.Service, directory *route.Directory, changes []route.Change, renewed bool) {
+func (g *Gateway) updatePlain(service route.Service, directory *route.Directory, changes []route.Change, renewed bool) {
 	bound := service.Cold.Bound(g.Settings.ColdFactor, g.Settings.ColdExtra)
 	now := time.Now()
 	first := g.health.isEmpty()
 	if renewed {
 		directory.Each(service.Name, func(e *route.Endpoint) bool {
-			g.health.learn(e, bound, first, now)
+			g.health.update(e, bound, first, now)
 			return true
 		})
 	}
 	for i := range changes {
 		switch before, after := changes[i].Before, changes[i].After; {
 		case after != nil && after.Service == service.Name && !after.Leaving:
-			g.health.learn(after, bound, first, now)
+			g.health.update(after, bound, first, now)
 		case after == nil && before.Service == service.Name:
-			g.health.forget(before.ID)
+			g.health.remove(before.ID)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	// sweepInterval is the time between two looks for connections idle too long.
 	sweepInterval = 2 * time.Second
 	// clientUnused is how long an endpoint is not used before its client is dropped.
-	clientUnused = 30 * time.Second
+	clientTTL = 30 * time.Second
 )
 
 func (g *Gateway) sweepIdle(ctx context.Context) error {
@@ -116,7 +116,7 @@
 		defer g.mu.Unlock()
 		for address, client := range g.clients {
 			client.Sweep()
-			if client.Retire(clientUnused) {
+			if client.Retire(clientTTL) {
 				delete(g.clients, address)
 			}
 		}
--- a/pkg/gateway/fetcher.go
+++ b/pkg/gateway/fetcher.go
@@ -7,7 +7,7 @@
 // fleet of 100 boxes and 1,000 endpoints sent 250 kB a second of each box.
 type fetcher struct {
 	// known is the version that this box has.
-	known func() uint64
+	localVersion func() uint64
 	// fetch takes a version from a box.
 	fetch func(from string, version uint64)
 
@@ -19,7 +19,7 @@
 }
 
 // told notes that a box has a version. It reports whether run has to be started.
-func (f *fetcher) told(from string, version uint64) (start bool) {
+func (f *fetcher) addSource(from string, version uint64) (start bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.sources == nil {
@@ -35,7 +35,7 @@
 // again when it tells again.
 func (f *fetcher) run() error {
 	for {
-		from, version := f.next()
+		from, version := f.nextSource()
 		if from == "" {
 			return nil
 		}
@@ -44,8 +44,8 @@
 }
 
 // next is the box with the highest version among those that are ahead.
-func (f *fetcher) next() (from string, version uint64) {
-	known := f.known()
+func (f *fetcher) nextSource() (from string, version uint64) {
+	known := f.localVersion()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	version = known
--- a/pkg/gateway/fetcher_test.go
+++ b/pkg/gateway/fetcher_test.go
@@ -11,12 +11,12 @@
 
 // TestFetcher has many boxes tell of a version at once.
 func TestFetcher(t *testing.T) {
-	type play struct {
+	type scenario struct {
 		// failing sources give nothing.
 		failing map[string]bool
 		asked   int
 	}
-	for name, p := range map[string]*play{
+	for name, p := range map[string]*scenario{
 		"One fetch is made for what many boxes tell":                        {asked: 1},
 		"Where the first box fails, another one is asked, and only then":    {failing: map[string]bool{"box-8": true}, asked: 2},
 		"Boxes that all fail are asked once each, until they tell it again": {failing: map[string]bool{"box-7": true, "box-8": true, "box-9": true}, asked: 3},
@@ -24,7 +24,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			Convey(name, t, func() {
 				known, asked := uint64(1), 0
-				f := &fetcher{known: func() uint64 { return known }}
+				f := &fetcher{localVersion: func() uint64 { return known }}
 				f.fetch = func(from string, version uint64) {
 					asked++
 					time.Sleep(10 * time.Millisecond)
@@ -38,7 +38,7 @@
 					if len(p.failing) == 0 {
 						version = 9
 					}
-					if f.told(box, version) {
+					if f.addSource(box, version) {
 						group.Go(func() error {
 							synctest.Wait()
 							return f.run()
@@ -47,7 +47,7 @@
 				}
 				So(group.Wait(), ShouldBeNil)
 				So(asked, ShouldEqual, p.asked)
-				So(f.told("box-1", 20), ShouldBeTrue)
+				So(f.addSource("box-1", 20), ShouldBeTrue)
 			})
 		})
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -50,14 +50,14 @@
 	health       *health
 	// ledger tells under which requests endpoints ended, and supposed which of these ends
 	// may prove wrong.
-	ledger   quarantine.Ledger
-	supposed supposedEnds
+	ledger      quarantine.Ledger
+	unconfirmed unconfirmedEnds
 	// waking notices suspensions of the machine.
-	waking suspensionTracker
+	suspensions suspensionTracker
 	// lives are the attempts under way, and coldSends the plain endpoints that this box
 	// sends to while they are cold.
-	lives     lives
-	coldSends coldChoice
+	attempts    activeAttempts
+	coldSenders coldSenders
 	// rests are until when endpoints want nothing from this box.
 	rests rests
 	// rollouts move services to other versions of their endpoints.
@@ -68,17 +68,17 @@
 	// work runs what serves callers; it outlives the order to stop.
 	work *errgroup.Group
 	// over ends what is still in flight when the time to stop is up.
-	over     context.Context
-	endWork  context.CancelCauseFunc
-	stopping atomic.Bool
+	workContext context.Context
+	cancelWork  context.CancelCauseFunc
+	stopping    atomic.Bool
 	// refusingStreams and refusing are set in the later parts of a planned stop:
 	// new streams, which may take longer than what is left, are refused first.
 	refusingStreams, refusing atomic.Bool
 	startedAt                 time.Time
 	// arrivedAfter is when the last request came, as the time after startedAt: the
 	// time of day may jump.
-	arrivedAfter atomic.Int64
-	inFlight     atomic.Int64
+	lastArrival atomic.Int64
+	inFlight    atomic.Int64
 
 	mu      sync.Mutex
 	pools   map[string]*pool
@@ -86,7 +86,7 @@
 }
 
 // errStopTime ends requests that outlast a planned stop.
-var errStopTime = errors.New("the time for the planned stop is up")
+var errStopTimeout = errors.New("the time for the planned stop is up")
 
 // Run serves until the context ends, and then stops as planned.
 func (g *Gateway) Run(ctx context.Context) (err error) {
@@ -97,40 +97,40 @@
 	if err != nil {
 		return err
 	}
-	behind, stopBehind := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopBehind()
-	group, behind := errgroup.WithContext(behind)
+	background, stopBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopBackground()
+	group, background := errgroup.WithContext(background)
 	g.work = &errgroup.Group{}
-	g.over, g.endWork = context.WithCancelCause(behind)
+	g.workContext, g.cancelWork = context.WithCancelCause(background)
 	callerServer := g.callerServer()
 	readyServer := g.readyServer()
-	group.Go(func() error { return g.exchange.Run(behind, peers) })
-	group.Go(func() error { return g.registry.Run(behind) })
-	group.Go(func() error { return g.maintainContacts(behind) })
+	group.Go(func() error { return g.exchange.Run(background, peers) })
+	group.Go(func() error { return g.registry.Run(background) })
+	group.Go(func() error { return g.maintainContacts(background) })
 	group.Go(func() error { return readyServer.Serve(ready) })
 	group.Go(func() error { return callerServer.Serve(callers) })
-	group.Go(func() error { return g.reportCounts(behind) })
-	group.Go(func() error { return g.reportServices(behind) })
-	group.Go(func() error { return g.sweepIdle(behind) })
-	group.Go(func() error { return g.dropIdle(behind) })
+	group.Go(func() error { return g.reportCounts(background) })
+	group.Go(func() error { return g.reportServices(background) })
+	group.Go(func() error { return g.sweepIdle(background) })
+	group.Go(func() error { return g.dropIdle(background) })
 	group.Go(func() error {
-		interval.Every(behind, coldLook, g.chooseColdSenders)
+		interval.Every(background, coldSenderInterval, g.updateColdSenders)
 		return nil
 	})
 	group.Go(func() error {
-		interval.Every(behind, supposedLook, g.settleEnds)
+		interval.Every(background, endCheckInterval, g.retractEnds)
 		return nil
 	})
 	group.Go(func() error {
-		interval.Every(behind, forgetLook, func() { g.ledger.Forget(time.Now()) })
+		interval.Every(background, ledgerExpiryInterval, func() { g.ledger.Expire(time.Now()) })
 		return nil
 	})
 	group.Go(func() error {
-		interval.Every(behind, suspensionCheckInterval, g.checkSuspension)
+		interval.Every(background, suspensionCheckInterval, g.checkSuspension)
 		return nil
 	})
-	group.Go(func() error { return g.rollouts.run(behind) })
-	group.Go(func() error { return g.load.measure(behind, g.overloaded) })
+	group.Go(func() error { return g.rollouts.run(background) })
+	group.Go(func() error { return g.load.measure(background, g.reportOverload) })
 	g.log.Info("box started",
 		zap.String("Box", g.Settings.Name),
 		zap.String("Zone", g.Settings.Zone),
@@ -139,10 +139,10 @@
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-behind.Done():
+		case <-background.Done():
 		}
 		stopErr := g.stop(callerServer)
-		stopBehind()
+		stopBackground()
 		return trace.NewAggregate(stopErr, readyServer.Shutdown())
 	})
 	return group.Wait()
@@ -161,12 +161,12 @@
 	g.startedAt = time.Now()
 	g.pools = map[string]*pool{}
 	g.clients = map[string]*endpoint.Client{}
-	g.health = &health{log: g.Logs.For(logflags.Pool), coldPart: g.coldSends.part, rests: &g.rests}
+	g.health = &health{log: g.Logs.For(logflags.Pool), coldFraction: g.coldSenders.fraction, rests: &g.rests}
 	if g.Metrics == nil {
 		g.Metrics = &Metrics{}
 	}
 	g.rollouts.gateway, g.rollouts.log = g, g.Logs.For(logflags.Rollout)
-	g.waking.Total = g.Suspended
+	g.suspensions.Total = g.Suspended
 	g.checkSuspension()
 	self := registry.Box{
 		Name:        g.Settings.Name,
@@ -180,7 +180,7 @@
 		Store:      g.Store,
 		Self:       self,
 		Log:        g.Logs.For(logflags.Platform),
-		Changed:    g.changed,
+		Changed:    g.applyChanges,
 		FoundBoxes: g.recordListedBoxes,
 		Polled:     func() { g.exchange.SendNow() },
 		LiveBoxes:  g.liveBoxes,
@@ -189,7 +189,7 @@
 		Follows:         g.fleet.IsFollower,
 		StartRank:       g.fleet.StartRank,
 		LiveAhead:       g.fleet.LiveAhead,
-		FullReadStarted: g.Metrics.ReadingWhole,
+		FullReadStarted: g.Metrics.FullRead,
 		StoreLost:       g.announceStoreState,
 		LostElsewhere:   g.fleet.AnyStoreLost,
 		MaxLeavingDelay: g.Settings.MaxLeavingDelay,
@@ -214,10 +214,10 @@
 		Departures: g.registry,
 	}
 	g.fleet.Self = g.exchange.Self()
-	g.catalogs = fetcher{known: g.catalogVersion, fetch: g.fetchCatalog}
-	g.directories = fetcher{known: g.knownVersion, fetch: g.fetchDirectory}
-	g.orders = fetcher{known: g.ordersVersion, fetch: g.fetchOrders}
-	g.budget = &retryBudget{settings: g.Settings, peers: g.fleet.CountLive, lot: rand.Float64()}
+	g.catalogs = fetcher{localVersion: g.catalogVersion, fetch: g.fetchCatalog}
+	g.directories = fetcher{localVersion: g.knownVersion, fetch: g.fetchDirectory}
+	g.orders = fetcher{localVersion: g.ordersVersion, fetch: g.fetchOrders}
+	g.budget = &retryBudget{settings: g.Settings, peers: g.fleet.CountLive, randomDraw: rand.Float64()}
 }
 
 // peerSettings are this box's in the terms of the exchange between boxes.
@@ -252,7 +252,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return patientListener{Listener: listener, log: g.log}, nil
+	return retryingListener{Listener: listener, log: g.log}, nil
 }
 
 // callerServer passes paths and header names on as they were sent.
@@ -273,17 +273,17 @@
 		WriteTimeout:                  writeTimeout,
 		IdleTimeout:                   idleTimeout,
 		CloseOnShutdown:               true,
-		Logger:                        quietLogger{g.Logs.For(logflags.Caller)},
+		Logger:                        debugLogger{g.Logs.For(logflags.Caller)},
 	}
 }
 
 // quietLogger passes the library's own words on at the debug level.
-type quietLogger struct {
+type debugLogger struct {
 	log *zap.Logger
 }
 
 // Printf logs a message of the library.
-func (l quietLogger) Printf(format string, args ...any) {
+func (l debugLogger) Printf(format string, args ...any) {
 	l.log.Sugar().Debugf(format, args...)
 }
 
@@ -297,25 +297,25 @@
 				g.writeMetrics(ctx)
 			case string(ctx.Path()) != path:
 				ctx.SetStatusCode(fasthttp.StatusNotFound)
-			case !g.ready():
+			case !g.isReady():
 				ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			}
 		},
-		Logger: quietLogger{g.Logs.For(logflags.Caller)},
+		Logger: debugLogger{g.Logs.For(logflags.Caller)},
 	}
 }
 
 // ready tells whether new connections of callers are welcome.
-func (g *Gateway) ready() bool {
-	return !g.stopping.Load() && !g.waking.refreshing.Load() && !g.load.busy(time.Now()) && g.registry.Catalog() != nil && g.registry.Directory() != nil
+func (g *Gateway) isReady() bool {
+	return !g.stopping.Load() && !g.suspensions.refreshing.Load() && !g.load.isBusy(time.Now()) && g.registry.Catalog() != nil && g.registry.Directory() != nil
 }
 
 // overloaded tells of a time in which this box asks for no new callers.
-func (g *Gateway) overloaded() {
+func (g *Gateway) reportOverload() {
 	g.log.Warn("overloaded, not ready for a while",
-		zap.Duration("ProcessorWait", g.load.waited()),
+		zap.Duration("ProcessorWait", g.load.meanDelay()),
 		zap.Int64("InFlight", g.inFlight.Load()),
-		zap.Duration("For", busyFor))
+		zap.Duration("For", minBusyTime))
 }
 
 // stop ends as planned: the box is no longer ready but serves on until the
@@ -335,13 +335,13 @@
 	left := g.Settings.StopTimeout - stopReserve - time.Since(began)
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
-	stopCut := context.AfterFunc(ctx, func() { g.endWork(errStopTime) })
+	stopCut := context.AfterFunc(ctx, func() { g.cancelWork(errStopTimeout) })
 	defer stopCut()
 	last, cancelLast := context.WithTimeout(context.Background(), left+stopReserve/2)
 	defer cancelLast()
 	err := callers.ShutdownWithContext(last)
 	g.log.Info("planned stop ended", zap.Int64("InFlight", g.inFlight.Load()), zap.Error(err))
-	g.endWork(errStopTime)
+	g.cancelWork(errStopTimeout)
 	return nil
 }
 
@@ -350,15 +350,15 @@
 	// that the balancer sends none any more: the time between two of its questions.
 	quietTime = time.Second
 	// quietLook is the time between two looks whether requests come.
-	quietLook = 100 * time.Millisecond
+	quietCheckInterval = 100 * time.Millisecond
 )
 
 // awaitQuiet waits until no request has come for a while, and not beyond a time.
 func (g *Gateway) awaitQuiet(until time.Time) {
 	for time.Now().Before(until) {
-		if time.Since(g.startedAt)-time.Duration(g.arrivedAfter.Load()) > quietTime {
+		if time.Since(g.startedAt)-time.Duration(g.lastArrival.Load()) > quietTime {
 			return
 		}
-		_ = interval.Wait(context.Background(), quietLook)
+		_ = interval.Wait(context.Background(), quietCheckInterval)
 	}
 }
--- a/pkg/gateway/granted.go
+++ b/pkg/gateway/granted.go
@@ -8,7 +8,7 @@
 )
 
 // running is a granted request of this box.
-type running struct {
+type grantedRequest struct {
 	ask      *dispatch.Ask
 	endpoint string
 	begun    bool
@@ -16,20 +16,20 @@
 
 // accept notes a grant, also in this box's own pool and at the box that
 // dispatches, so that both know what runs.
-func (s *scheduler) accept(ask *dispatch.Ask, v verdict, from *remote) verdict {
+func (s *scheduler) recordGrant(ask *dispatch.Ask, v verdict, from *remote) verdict {
 	if v.endpoint == "" {
 		return v
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running[ask.ID] = &running{ask: ask, endpoint: v.endpoint}
+	s.running[ask.ID] = &grantedRequest{ask: ask, endpoint: v.endpoint}
 	s.granted.Grant(ask, time.Now())
 	s.poolHistories.grant(ask, time.Now())
 	if from != nil {
 		s.pool.Adopt(ask, v.endpoint, false, time.Now())
 	}
 	if from != s.remote && s.remote != nil {
-		s.remote.stream.Send(askMessage(ask, v.endpoint, false))
+		s.remote.stream.Send(encodeAsk(ask, v.endpoint, false))
 	}
 	return v
 }
@@ -48,7 +48,7 @@
 	}
 	s.pool.Begin(id, time.Now())
 	if s.remote != nil {
-		s.remote.stream.Send(beginMessage(id))
+		s.remote.stream.Send(encodeBegin(id))
 	}
 	s.decide()
 }
@@ -71,7 +71,7 @@
 	}
 	s.pool.End(id, how, time.Now())
 	if s.remote != nil {
-		s.remote.stream.Send(endMessage(id, how))
+		s.remote.stream.Send(encodeOutcome(id, how))
 	}
 	s.decide()
 }
@@ -79,12 +79,12 @@
 // noteRest has this box's own pool, and the box that dispatches, grant this box nothing at an
 // engine that asked it for rest. What is granted by boxes that do not know it is handed back:
 // each costs a round of messages, and the same engine is granted next, as it looks idle.
-func (s *scheduler) noteRest(rest lifecycle.Rest) {
+func (s *scheduler) recordRest(rest lifecycle.Rest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.pool.Rest(ownStream, rest, now)
 	if s.remote != nil && s.has(rest.Endpoint) {
-		s.remote.stream.Send(restMessage(rest, now))
+		s.remote.stream.Send(encodeRest(rest, now))
 	}
 }
--- a/pkg/gateway/guard.go
+++ b/pkg/gateway/guard.go
@@ -16,7 +16,7 @@
 // guard ends an attempt that stalls, or whose endpoint has started again. A nil guard does
 // nothing.
 type guard struct {
-	lives       *lives
+	attempts    *activeAttempts
 	endpoint    route.Endpoint
 	fingerprint quarantine.Fingerprint
 	// timer is nil for attempts that may take as long as they like.
@@ -28,43 +28,43 @@
 // beyond what a busy endpoint takes, as giving up costs what was done there.
 const (
 	// plainStallAims is in aims of the route, and plainStallLeast its least.
-	plainStallAims  = 3
-	plainStallLeast = 300 * time.Millisecond
+	plainStallFactor     = 3
+	minPlainStallTimeout = 300 * time.Millisecond
 	// firstStall goes beyond the predicted time of a stream's first event.
-	firstStall = 1500 * time.Millisecond
+	firstEventMargin = 1500 * time.Millisecond
 	// pauseStallAims is in longest pauses that the route aims for, and
 	// pauseStallLeast its least.
-	pauseStallAims  = 3
-	pauseStallLeast = time.Second
+	pauseStallFactor     = 3
+	minPauseStallTimeout = time.Second
 )
 
 // guarded returns the context of an attempt. One that stalls is given up only where
 // another one may follow: otherwise an answer that comes late is better than none.
-func (c *call) guarded(to destination) context.Context {
+func (c *call) guardContext(to destination) context.Context {
 	c.guard.stop()
 	ctx, cancel := context.WithCancelCause(c.ctx)
-	c.guard = &guard{lives: &c.gateway.lives, endpoint: to.Endpoint, fingerprint: c.fingerprint, cancel: cancel}
+	c.guard = &guard{attempts: &c.gateway.attempts, endpoint: to.Endpoint, fingerprint: c.fingerprint, cancel: cancel}
 	last := c.life.Attempts()+1 >= c.route.MaxAttempts
 	if c.route.Repeatable && !last {
-		c.guard.timer = time.AfterFunc(c.firstPatience(to), func() {
-			if c.gateway.budget.has(c.service.Name) {
+		c.guard.timer = time.AfterFunc(c.firstStallTimeout(to), func() {
+			if c.gateway.budget.canTake(c.service.Name) {
 				cancel(errStalled)
 			}
 		})
 	}
-	c.gateway.lives.enter(c.guard)
+	c.gateway.attempts.add(c.guard)
 	return ctx
 }
 
-func (c *call) firstPatience(to destination) time.Duration {
+func (c *call) firstStallTimeout(to destination) time.Duration {
 	if c.route.Streaming {
-		return firstStall + to.granted.wait + to.granted.readTime
+		return firstEventMargin + to.granted.wait + to.granted.readTime
 	}
-	return max(plainStallAims*c.route.Aim, plainStallLeast)
+	return max(plainStallFactor*c.route.Aim, minPlainStallTimeout)
 }
 
-func (c *call) pausePatience() time.Duration {
-	return max(pauseStallAims*c.route.PauseAim, pauseStallLeast)
+func (c *call) pauseStallTimeout() time.Duration {
+	return max(pauseStallFactor*c.route.PauseAim, minPauseStallTimeout)
 }
 
 // extend gives the attempt more time, as something came.
@@ -79,7 +79,7 @@
 	if g == nil {
 		return
 	}
-	g.lives.leave(g)
+	g.attempts.remove(g)
 	if g.timer != nil {
 		g.timer.Stop()
 	}
--- a/pkg/gateway/health.go
+++ b/pkg/gateway/health.go
@@ -16,7 +16,7 @@
 type health struct {
 	log *zap.Logger
 	// coldPart is the part of a cold endpoint's bound that is this box's to use.
-	coldPart func(endpoint string, now time.Time) float64
+	coldFraction func(endpoint string, now time.Time) float64
 	// rests are until when endpoints want nothing from this box.
 	rests *rests
 
@@ -27,34 +27,34 @@
 // endpointHealth is one endpoint's.
 type endpointHealth struct {
 	// life says whether and how much may be sent; bound is what it takes while cold.
-	life  lifecycle.Life
-	bound lifecycle.Bound
+	instance lifecycle.State
+	bound    lifecycle.Bound
 	// running counts this box's requests there.
-	running int
+	inFlight int
 	// failing is a mean of the outcomes: 0 all well, 1 all failed.
-	failing float64
+	failureRate float64
 	// took is a mean of the answers' times.
-	took time.Duration
+	meanLatency time.Duration
 	// restUntil ends a time without new work.
-	restUntil time.Time
-	rest      time.Duration
+	ejectedUntil time.Time
+	ejection     time.Duration
 }
 
 const (
 	// healthGain is the weight of the newest outcome.
-	healthGain = 0.25
+	outcomeWeight = 0.25
 	// failingMost is the mean of failures above which an endpoint rests: two of
 	// the last few requests.
-	failingMost = 0.4
+	maxFailureRate = 0.4
 	// restLeast and restMost bound a rest; it doubles while failures go on.
-	restLeast = 400 * time.Millisecond
-	restMost  = 5 * time.Second
+	minEjection = 400 * time.Millisecond
+	maxEjection = 5 * time.Second
 	// failingCost is the time that a request loses on average at an endpoint
 	// that fails all; it weighs failures against slowness.
-	failingCost = 500 * time.Millisecond
+	failureCost = 500 * time.Millisecond
 )
 
-func (h *health) of(id string) *endpointHealth {
+func (h *health) stateOf(id string) *endpointHealth {
 	if h.states == nil {
 		h.states = map[string]*endpointHealth{}
 	}
@@ -75,23 +75,23 @@
 
 // learn takes a newer account of an endpoint. One that started again is judged anew. First
 // marks that there were none before: they have served others.
-func (h *health) learn(endpoint *route.Endpoint, bound lifecycle.Bound, first bool, now time.Time) {
+func (h *health) update(endpoint *route.Endpoint, bound lifecycle.Bound, first bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	state := h.states[endpoint.ID]
-	if state == nil || endpoint.Supersedes(&state.life.Facts) {
+	if state == nil || endpoint.Supersedes(&state.instance.Facts) {
 		delete(h.states, endpoint.ID)
-		state = h.of(endpoint.ID)
+		state = h.stateOf(endpoint.ID)
 		if !first {
-			state.life.Suppose(lifecycle.Started, now.Add(bound.For))
+			state.instance.AssumeCold(lifecycle.Started, now.Add(bound.Duration))
 		}
 	}
 	state.bound = bound
-	state.life.Learn(endpoint.Facts, bound, now)
+	state.instance.Update(endpoint.Facts, bound, now)
 }
 
 // forget drops an endpoint that is gone.
-func (h *health) forget(id string) {
+func (h *health) remove(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.states, id)
@@ -107,13 +107,13 @@
 	now := time.Now()
 	best := 0.0
 	for _, candidate := range endpoints {
-		one := h.of(candidate.ID)
-		if slices.Contains(excluded, candidate.ID) || !candidate.Admits() || h.rests.isResting(&candidate, now) || !one.life.Takes(one.bound, h.coldPart(candidate.ID, now), now) {
+		one := h.stateOf(candidate.ID)
+		if slices.Contains(excluded, candidate.ID) || !candidate.Admits() || h.rests.isResting(&candidate, now) || !one.instance.CanSend(one.bound, h.coldFraction(candidate.ID, now), now) {
 			continue
 		}
 		cost := one.cost(now)
 		if candidate.Zone != zone {
-			cost += zoneCost
+			cost += crossZoneCost
 		}
 		cost *= 0.9 + 0.2*rand.Float64()
 		if state == nil || cost < best {
@@ -121,23 +121,23 @@
 		}
 	}
 	if state != nil {
-		state.running++
-		state.life.NoteSent(now)
+		state.inFlight++
+		state.instance.RecordSent(now)
 	}
 	return chosen, state
 }
 
 // zoneCost is added, in milliseconds, for another availability zone: the way
 // there and back, and the price of its bytes.
-const zoneCost = 2
+const crossZoneCost = 2
 
 // cost is the expected time of a request in milliseconds.
 func (s *endpointHealth) cost(now time.Time) float64 {
 	const typical = 20 * time.Millisecond
-	took := max(s.took, typical).Seconds() * 1000
-	cost := took * float64(1+s.running)
-	cost += s.failing * failingCost.Seconds() * 1000
-	if rest := s.restUntil.Sub(now); rest > 0 {
+	took := max(s.meanLatency, typical).Seconds() * 1000
+	cost := took * float64(1+s.inFlight)
+	cost += s.failureRate * failureCost.Seconds() * 1000
+	if rest := s.ejectedUntil.Sub(now); rest > 0 {
 		cost += 1e6 + rest.Seconds()
 	}
 	return cost
@@ -148,39 +148,39 @@
 func (h *health) finish(id string, s *endpointHealth, how outcome, took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s.running--
+	s.inFlight--
 	switch how {
 	case outcomeUnknown, outcomeUnused:
 		return
 	case outcomeGood:
-		s.failing *= 1 - healthGain
-		s.took += time.Duration(healthGain * float64(took-s.took))
-		if s.failing < failingMost/4 {
-			s.rest = 0
+		s.failureRate *= 1 - outcomeWeight
+		s.meanLatency += time.Duration(outcomeWeight * float64(took-s.meanLatency))
+		if s.failureRate < maxFailureRate/4 {
+			s.ejection = 0
 		}
 		return
 	case outcomeFull:
-		s.restUntil = time.Now().Add(restLeast / 8)
+		s.ejectedUntil = time.Now().Add(minEjection / 8)
 		return
 	}
-	s.failing += healthGain * (1 - s.failing)
+	s.failureRate += outcomeWeight * (1 - s.failureRate)
 	if how == outcomeUnreachable {
-		s.failing = max(s.failing, failingMost)
+		s.failureRate = max(s.failureRate, maxFailureRate)
 	}
-	if s.failing >= failingMost {
-		s.rest = min(max(restLeast, 2*s.rest), restMost)
-		s.restUntil = time.Now().Add(s.rest)
+	if s.failureRate >= maxFailureRate {
+		s.ejection = min(max(minEjection, 2*s.ejection), maxEjection)
+		s.ejectedUntil = time.Now().Add(s.ejection)
 		// It may be back after a new start, before its entry says so.
-		s.life.Suppose(lifecycle.Returned, s.restUntil.Add(s.bound.For))
+		s.instance.AssumeCold(lifecycle.Returned, s.ejectedUntil.Add(s.bound.Duration))
 		h.log.Info("endpoint rests",
 			zap.String("Endpoint", id),
-			zap.Float64("Failing", s.failing),
-			zap.Duration("Rest", s.rest))
+			zap.Float64("Failing", s.failureRate),
+			zap.Duration("Rest", s.ejection))
 	}
 }
 
 // blames tells whether the endpoint failed the request.
-func (o outcome) blames() bool {
+func (o outcome) isFailure() bool {
 	return o == outcomeFailed || o == outcomeEnded || o == outcomeUnreachable
 }
 
--- a/pkg/gateway/histories.go
+++ b/pkg/gateway/histories.go
@@ -45,7 +45,7 @@
 }
 
 // noteAsked books a request, with what its customer has of the other groups. The lock is held.
-func (s *scheduler) noteAsked(ask *dispatch.Ask, now time.Time) {
+func (s *scheduler) recordAsk(ask *dispatch.Ask, now time.Time) {
 	ask.Box = s.boxHash
 	if s.groupCount <= 1 {
 		return
--- a/pkg/gateway/listener.go
+++ b/pkg/gateway/listener.go
@@ -11,29 +11,29 @@
 
 // patientListener goes on after failures that pass: a process without
 // descriptors left, or a connection that ended before it was taken.
-type patientListener struct {
+type retryingListener struct {
 	net.Listener
 	log *zap.Logger
 }
 
 // acceptPause is the time after which a failed accept is tried again.
-const acceptPause = 50 * time.Millisecond
+const acceptRetryDelay = 50 * time.Millisecond
 
 // Accept returns the next connection, or an error that does not pass.
-func (l patientListener) Accept() (net.Conn, error) {
+func (l retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
-		if err == nil || !passes(err) {
+		if err == nil || !isTransient(err) {
 			return conn, err
 		}
 		l.log.Warn("connection not taken", zap.Error(err))
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-func passes(err error) bool {
-	for _, passing := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
-		if errors.Is(err, passing) {
+func isTransient(err error) bool {
+	for _, transient := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
--- a/pkg/gateway/load.go
+++ b/pkg/gateway/load.go
@@ -31,19 +31,19 @@
 const (
 	// delayInterval is the time between two looks. Where the processor is a quota,
 	// it is given out by tenths of a second.
-	delayInterval = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 	// delayGain is the weight of the newest look.
-	delayGain = 0.4
+	delayWeight = 0.4
 	// delayMost is the mean wait above which a box is overloaded. A request waits
 	// several times on its way, and its aim is several hundred milliseconds.
-	delayMost = 10 * time.Millisecond
+	maxMeanDelay = 10 * time.Millisecond
 	// longestDelay bounds what one look may say: a box that stood still for a while
 	// is not overloaded yet when it goes on.
-	longestDelay = 2 * delayMost
+	maxSample = 2 * maxMeanDelay
 	// busyFor is how long an overloaded box is not ready, at least. The balancer
 	// asks each second and believes the second answer; one more second gives it
 	// callers to pass elsewhere.
-	busyFor = 3 * time.Second
+	minBusyTime = 3 * time.Second
 )
 
 // measure follows the wait until the context ends, and calls overloaded when a
@@ -63,14 +63,14 @@
 	})
 	group.Go(func() error {
 		defer reader.Close()
-		return l.listen(reader, sent, overloaded)
+		return l.receive(reader, sent, overloaded)
 	})
 	return group.Wait()
 }
 
 // probe sends a byte from time to time, and when it did.
 func probe(ctx context.Context, to io.Writer, sent chan<- time.Time) error {
-	for interval.Wait(ctx, delayInterval) == nil {
+	for interval.Wait(ctx, probeInterval) == nil {
 		select {
 		case sent <- time.Now():
 		default:
@@ -85,7 +85,7 @@
 }
 
 // listen notes how long each byte took, until there are no more.
-func (l *load) listen(from io.Reader, sent <-chan time.Time, overloaded func()) error {
+func (l *load) receive(from io.Reader, sent <-chan time.Time, overloaded func()) error {
 	one := make([]byte, 1)
 	for {
 		if _, err := from.Read(one); err != nil {
@@ -95,35 +95,35 @@
 			return err
 		}
 		now := time.Now()
-		l.note(now.Sub(<-sent))
-		if l.judge(now) {
+		l.addSample(now.Sub(<-sent))
+		if l.update(now) {
 			overloaded()
 		}
 	}
 }
 
 // note takes the wait of one byte.
-func (l *load) note(wait time.Duration) {
-	wait = min(wait, longestDelay)
+func (l *load) addSample(wait time.Duration) {
+	wait = min(wait, maxSample)
 	before := l.delay.Load()
-	l.delay.Store(before + int64(delayGain*float64(int64(wait)-before)))
+	l.delay.Store(before + int64(delayWeight*float64(int64(wait)-before)))
 }
 
 // waited is a mean of the wait for the processor.
-func (l *load) waited() time.Duration { return time.Duration(l.delay.Load()) }
+func (l *load) meanDelay() time.Duration { return time.Duration(l.delay.Load()) }
 
 // judge begins or extends a time without new callers when the box is overloaded.
 // It reports whether one began.
-func (l *load) judge(now time.Time) (began bool) {
+func (l *load) update(now time.Time) (began bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.waited() < delayMost {
+	if l.meanDelay() < maxMeanDelay {
 		if now.After(l.busyUntil) {
 			l.busySince = time.Time{}
 		}
 		return false
 	}
-	l.busyUntil = now.Add(busyFor)
+	l.busyUntil = now.Add(minBusyTime)
 	began = l.busySince.IsZero()
 	if began {
 		l.busySince = now
@@ -132,7 +132,7 @@
 }
 
 // busy tells that new callers had better go to another box.
-func (l *load) busy(now time.Time) bool {
+func (l *load) isBusy(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Before(l.busyUntil)
@@ -140,7 +140,7 @@
 
 // sheds tells that callers who keep connections had better open new ones: the
 // balancer has noticed by now.
-func (l *load) sheds(now time.Time) bool {
+func (l *load) isShedding(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Before(l.busyUntil) && now.Sub(l.busySince) > balancerDelay
--- a/pkg/gateway/load_test.go
+++ b/pkg/gateway/load_test.go
@@ -11,9 +11,9 @@
 // work has a box wait for its processor for a time, from the one given.
 func work(l *load, from time.Time, length, wait time.Duration) (until time.Time, began bool) {
 	until = from.Add(length)
-	for at := from; at.Before(until); at = at.Add(delayInterval) {
-		l.note(wait)
-		began = l.judge(at) || began
+	for at := from; at.Before(until); at = at.Add(probeInterval) {
+		l.addSample(wait)
+		began = l.update(at) || began
 	}
 	return until, began
 }
@@ -25,34 +25,34 @@
 		l := load{}
 		now, began := work(&l, start, 5*time.Second, well)
 		So(began, ShouldBeFalse)
-		now, began = work(&l, now, delayInterval, hard)
+		now, began = work(&l, now, probeInterval, hard)
 		So(began, ShouldBeFalse)
 		now, began = work(&l, now, time.Second, hard)
 		So(began, ShouldBeTrue)
-		So(l.busy(now), ShouldBeTrue)
+		So(l.isBusy(now), ShouldBeTrue)
 		now, began = work(&l, now, 2*time.Second, well)
 		So(began, ShouldBeFalse)
-		So(l.busy(now), ShouldBeTrue)
+		So(l.isBusy(now), ShouldBeTrue)
 		now, _ = work(&l, now, 2*time.Second, well)
-		So(l.busy(now), ShouldBeFalse)
+		So(l.isBusy(now), ShouldBeFalse)
 		_, began = work(&l, now, time.Second, hard)
 		So(began, ShouldBeTrue)
 	})
 	Convey("Callers are asked to open new connections only once the balancer has noticed", t, func() {
 		l := load{}
 		now, _ := work(&l, start, time.Second, hard)
-		So(l.busy(now), ShouldBeTrue)
-		So(l.sheds(now), ShouldBeFalse)
+		So(l.isBusy(now), ShouldBeTrue)
+		So(l.isShedding(now), ShouldBeFalse)
 		now, _ = work(&l, now, balancerDelay, hard)
-		So(l.sheds(now), ShouldBeTrue)
+		So(l.isShedding(now), ShouldBeTrue)
 		now, _ = work(&l, now, 10*time.Second, well)
-		So(l.sheds(now), ShouldBeFalse)
+		So(l.isShedding(now), ShouldBeFalse)
 	})
 	Convey("Each byte that a box sends itself is noted, until it stops", t, func() {
-		ctx, stop := context.WithTimeout(t.Context(), 3*delayInterval)
+		ctx, stop := context.WithTimeout(t.Context(), 3*probeInterval)
 		defer stop()
 		l := load{}
 		So(l.measure(ctx, func() {}), ShouldBeNil)
-		So(l.waited(), ShouldBeGreaterThan, 0)
+		So(l.meanDelay(), ShouldBeGreaterThan, 0)
 	})
 }
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -11,7 +11,7 @@
 )
 
 // askMessage describes a request that waits or, with an endpoint, runs there.
-func askMessage(ask *dispatch.Ask, endpoint string, begun bool) *peerpb.Call {
+func encodeAsk(ask *dispatch.Ask, endpoint string, begun bool) *peerpb.Call {
 	now := time.Now()
 	message := &peerpb.Ask{
 		ID:         ask.ID,
@@ -45,7 +45,7 @@
 }
 
 // askOf is the reverse of askMessage.
-func askOf(message *peerpb.Ask, router uint64, now time.Time) *dispatch.Ask {
+func decodeAsk(message *peerpb.Ask, router uint64, now time.Time) *dispatch.Ask {
 	ask := &dispatch.Ask{
 		ID:       message.ID,
 		Customer: message.Customer,
@@ -66,11 +66,11 @@
 		Elsewhere:   dispatch.Elsewhere{Asked: float64(message.AskedElsewhere), Granted: float64(message.GrantedElsewhere)},
 		Fingerprint: peer.DecodeFingerprint(message.Fingerprint),
 	}
-	ask.Parts = partsOf(message.PartIDs, message.PartTokens)
+	ask.Parts = decodeParts(message.PartIDs, message.PartTokens)
 	return ask
 }
 
-func partsOf(ids []uint64, tokens []uint32) (parts []dispatch.Part) {
+func decodeParts(ids []uint64, tokens []uint32) (parts []dispatch.Part) {
 	for i, id := range ids {
 		if i < len(tokens) {
 			parts = append(parts, dispatch.Part{ID: id, Tokens: int(tokens[i])})
@@ -79,7 +79,7 @@
 	return parts
 }
 
-func keptMessage(kept dispatch.Kept) *peerpb.Call {
+func encodeKept(kept dispatch.Kept) *peerpb.Call {
 	message := &peerpb.Kept{Endpoint: kept.Endpoint, Born: kept.Born}
 	for _, part := range kept.Parts {
 		message.PartIDs = append(message.PartIDs, part.ID)
@@ -88,7 +88,7 @@
 	return &peerpb.Call{Kind: &peerpb.Call_Kept{Kept: message}}
 }
 
-func restMessage(rest lifecycle.Rest, now time.Time) *peerpb.Call {
+func encodeRest(rest lifecycle.Rest, now time.Time) *peerpb.Call {
 	return &peerpb.Call{Kind: &peerpb.Call_Rest{Rest: &peerpb.Rest{
 		Endpoint: rest.Endpoint,
 		Born:     rest.Born,
@@ -97,16 +97,16 @@
 }
 
 // restFrom is the reverse of restMessage.
-func restFrom(message *peerpb.Rest, now time.Time) lifecycle.Rest {
+func decodeRest(message *peerpb.Rest, now time.Time) lifecycle.Rest {
 	length := time.Duration(message.For) * time.Microsecond
 	return lifecycle.Rest{
 		Endpoint: message.Endpoint,
 		Born:     message.Born,
-		Until:    now.Add(min(length, lifecycle.MostRest)),
+		Until:    now.Add(min(length, lifecycle.MaxRest)),
 	}
 }
 
-func servedMessage(s dispatch.Service) *peerpb.Call {
+func encodeServed(s dispatch.Service) *peerpb.Call {
 	return &peerpb.Call{Kind: &peerpb.Call_Served{Served: &peerpb.Served{
 		Customer: s.Customer,
 		Route:    s.Route,
@@ -114,15 +114,15 @@
 	}}}
 }
 
-func beginMessage(id string) *peerpb.Call {
+func encodeBegin(id string) *peerpb.Call {
 	return &peerpb.Call{Kind: &peerpb.Call_Begin{Begin: id}}
 }
 
-func withdrawMessage(id string) *peerpb.Call {
+func encodeWithdraw(id string) *peerpb.Call {
 	return &peerpb.Call{Kind: &peerpb.Call_Withdraw{Withdraw: id}}
 }
 
-func endMessage(id string, how dispatch.Outcome) *peerpb.Call {
+func encodeOutcome(id string, how dispatch.Outcome) *peerpb.Call {
 	end := &peerpb.End{ID: id}
 	switch how := how.(type) {
 	case dispatch.Done:
@@ -142,7 +142,7 @@
 	return &peerpb.Call{Kind: &peerpb.Call_End{End: end}}
 }
 
-func outcomeOf(end *peerpb.End) dispatch.Outcome {
+func decodeOutcome(end *peerpb.End) dispatch.Outcome {
 	switch end.How {
 	case peerpb.End_UNUSED:
 		return dispatch.Unused{}
@@ -153,14 +153,14 @@
 	case peerpb.End_BROKEN:
 		return dispatch.Broken{}
 	case peerpb.End_ENDED:
-		return endedOf(end.Ended)
+		return decodeEnded(end.Ended)
 	default:
 		return dispatch.Done{}
 	}
 }
 
 // endedOf is Broken where the account can not be read.
-func endedOf(message *peerpb.EndpointEnd) dispatch.Outcome {
+func decodeEnded(message *peerpb.EndpointEnd) dispatch.Outcome {
 	if message == nil {
 		return dispatch.Broken{}
 	}
@@ -171,7 +171,7 @@
 	return dispatch.Ended{End: ends[0]}
 }
 
-func verdictMessage(id string, v verdict) *peerpb.Verdict {
+func encodeVerdict(id string, v verdict) *peerpb.Verdict {
 	return &peerpb.Verdict{
 		ID:         id,
 		Endpoint:   v.endpoint,
@@ -186,7 +186,7 @@
 }
 
 // verdictOf is the reverse of verdictMessage.
-func verdictOf(message *peerpb.Verdict) verdict {
+func decodeVerdict(message *peerpb.Verdict) verdict {
 	return verdict{
 		endpoint:         message.Endpoint,
 		retryAfter:       time.Duration(message.RetryAfter) * time.Microsecond,
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -80,10 +80,10 @@
 }
 
 // Rested counts an endpoint's word that it wants rest.
-func (m *Metrics) Rested() { m.rests.Add(1) }
+func (m *Metrics) RestRequested() { m.rests.Add(1) }
 
 // ReadingWhole counts a reading of all endpoints that begins.
-func (m *Metrics) ReadingWhole(why registry.FullReadReason) { m.readings.Add(string(why), 1) }
+func (m *Metrics) FullRead(why registry.FullReadReason) { m.readings.Add(string(why), 1) }
 
 // HandedBack counts a choice of an endpoint to which nothing was sent.
 func (m *Metrics) HandedBack() { m.handedBack.Add(1) }
@@ -113,7 +113,7 @@
 	traffic := &g.exchange.Traffic
 	interval.Every(ctx, countsInterval, func() {
 		log.Info("counts",
-			zap.Duration("Suspended", g.waking.Noticed()),
+			zap.Duration("Suspended", g.suspensions.Noticed()),
 			zap.Int("Alive", g.fleet.CountLive()+1),
 			zap.Stringer("Known", g.registry.Knowledge().Known),
 			zap.Int64("PeerBytesSent", traffic.Sent.Load()),
@@ -123,7 +123,7 @@
 			zap.Int64("Dispatch", traffic.Dispatch.Load()),
 			zap.Int64("Handovers", traffic.Handovers.Load()),
 			zap.Int64("InFlight", g.inFlight.Load()),
-			zap.Duration("ProcessorWait", g.load.waited()),
+			zap.Duration("ProcessorWait", g.load.meanDelay()),
 			zap.Int64("Granted", g.Metrics.granted.Value()),
 			zap.Int64("MissingTokens", g.Metrics.missing.Value()),
 			zap.Int64("Rests", g.Metrics.rests.Value()),
@@ -135,11 +135,11 @@
 }
 
 // sampleEach is the part of ordinary successes that is logged: one in so many.
-const sampleEach = 16
+const sampleInterval = 16
 
 // sampled chooses requests by their ID, so that every box logs the same ones.
-func sampled(id string) bool {
-	return xxhash.Sum64String(id)%sampleEach == 0
+func isSampled(id string) bool {
+	return xxhash.Sum64String(id)%sampleInterval == 0
 }
 
 func contextCause(c *call) error { return context.Cause(c.ctx) }
--- a/pkg/gateway/model.go
+++ b/pkg/gateway/model.go
@@ -35,7 +35,7 @@
 		if err == nil {
 			return nil
 		}
-		if refusal := c.next(to, err); refusal != nil {
+		if refusal := c.handleFailure(to, err); refusal != nil {
 			return refusal
 		}
 	}
@@ -45,32 +45,32 @@
 func (c *call) acquire() (to destination, refusal *request.Refusal) {
 	defer func() {
 		if refusal != nil {
-			c.unbook()
+			c.releaseRetry()
 		}
 	}()
 	p := c.gateway.pool(c.service.Name)
 	if p == nil {
-		return to, notRun(request.NoEndpoint, "the service has no engine now", comeBackAfterFailure())
+		return to, notRun(request.NoEndpoint, "the service has no engine now", failureRetryDelay())
 	}
 	for unusable := 0; ; unusable++ {
-		suspended := c.gateway.waking.Noticed()
+		suspended := c.gateway.suspensions.Noticed()
 		req := c.dispatchRequest()
 		s := p.groupFor(req)
 		v, err := s.acquire(c.ctx, req, unusable >= maxUnusableGrants)
 		if err != nil {
-			return to, c.ended()
+			return to, c.endedRefusal()
 		}
 		if v.endpoint == "" {
 			c.gateway.Metrics.Turned(c.customer)
 			return to, c.refuseTurned(v)
 		}
 		if to, usable := c.checkGrant(s, v); usable {
-			to.suspended = suspended
+			to.suspendedTotal = suspended
 			return to, nil
 		}
 		c.excluded = append(c.excluded, v.endpoint)
-		if len(c.excluded) > mostUnreachable {
-			return to, notRun(request.NoEndpoint, "the engines granted get nothing", comeBackAfterFailure())
+		if len(c.excluded) > maxUnreachable {
+			return to, notRun(request.NoEndpoint, "the engines granted get nothing", failureRetryDelay())
 		}
 	}
 }
@@ -93,11 +93,11 @@
 		c.log().Debug("engine granted", zap.String("Request", c.ID), zap.String("Endpoint", found.ID), zap.String("By", v.decidedBy), zap.Duration("Wait", v.wait))
 		c.gateway.Metrics.Granted(v)
 		return destination{
-			Endpoint: found,
-			begin:    func() { s.begin(c.ID) },
-			finish:   func(how outcome) { s.end(c.ID, c.dispatchOutcome(how)) },
-			granted:  v,
-			at:       time.Now(),
+			Endpoint:  found,
+			begin:     func() { s.begin(c.ID) },
+			finish:    func(how outcome) { s.end(c.ID, c.dispatchOutcome(how)) },
+			granted:   v,
+			grantedAt: time.Now(),
 		}, true
 	}
 	c.gateway.Metrics.HandedBack()
@@ -112,7 +112,7 @@
 		return nil
 	}
 	req := c.dispatchRequest()
-	v, refused := p.groupFor(req).refusesUnasked(req)
+	v, refused := p.groupFor(req).refuseEarly(req)
 	if !refused {
 		return nil
 	}
@@ -132,7 +132,7 @@
 		Prompt:   *c.Prompt,
 		Arrived:  c.arrived,
 		Aim:      aim,
-		Expires:  time.Now().Add(c.left()),
+		Expires:  time.Now().Add(c.remaining()),
 		Excluded: c.excluded,
 		Zones:    c.zones,
 		Releases: c.gateway.rollouts.pickSide(c.service.Name),
@@ -142,7 +142,7 @@
 }
 
 func (c *call) refuseTurned(v verdict) *request.Refusal {
-	if refusal := c.refuseDeadly(); refusal != nil {
+	if refusal := c.refuseQuarantined(); refusal != nil {
 		return refusal
 	}
 	message := "the engines are busy, decided by " + v.decidedBy
@@ -180,7 +180,7 @@
 	if status == fasthttp.StatusOK && bytes.HasPrefix(reply.Head.ContentType(), eventStreamType) {
 		return c.answerStream(to, reply)
 	}
-	if err := c.passWhole(reply); err != nil {
+	if err := c.forwardWhole(reply); err != nil {
 		return err
 	}
 	c.logEndpointError(to, status)
@@ -190,7 +190,7 @@
 	if failed {
 		how = outcomeFailed
 	} else {
-		c.noteWhole(reply)
+		c.clearFingerprint(reply)
 	}
 	to.finish(how)
 	return nil
@@ -203,7 +203,7 @@
 		to:        to,
 		reply:     reply,
 		lastEvent: c.LastEvent,
-		sentAt:    to.at,
+		sentAt:    to.grantedAt,
 		grant:     to.granted,
 	}
 	if err := s.prime(); err != nil {
@@ -212,7 +212,7 @@
 	}
 	to.begin()
 	c.gateway.Metrics.FirstEvent(c.customer, c.route.Name, time.Since(c.arrived))
-	c.passHead(reply)
+	c.forwardHead(reply)
 	c.streaming = true
 	c.http.Response.ImmediateHeaderFlush = true
 	c.http.Response.SetBodyStream(s, -1)
@@ -225,10 +225,10 @@
 	c := s.call
 	for {
 		if !c.route.Resumable || s.lastEvent == "" || context.Cause(c.ctx) != nil {
-			s.to.finish(c.outcomeOf(s.to, broken))
+			s.to.finish(c.classifyBroken(s.to, broken))
 			return broken
 		}
-		if refusal := c.next(s.to, broken); refusal != nil {
+		if refusal := c.handleFailure(s.to, broken); refusal != nil {
 			return broken
 		}
 		s.settled = true
--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -197,14 +197,14 @@
 	}
 	// What is news here is told on by the change of the directory.
 	g.registry.OfferDepartures(news.Departures, from.Box, time.Now())
-	if news.Revision > g.catalogVersion() && g.catalogs.told(from.Box, news.Revision) {
+	if news.Revision > g.catalogVersion() && g.catalogs.addSource(from.Box, news.Revision) {
 		g.work.Go(g.catalogs.run)
 	}
-	if news.Orders > g.registry.OrdersVersion() && g.orders.told(from.Box, uint64(news.Orders)) {
+	if news.Orders > g.registry.OrdersVersion() && g.orders.addSource(from.Box, uint64(news.Orders)) {
 		g.work.Go(g.orders.run)
 	}
 	learnt, ask := g.registry.ReceiveKnowledge(news.Knowledge, news.Directory)
-	if ask && g.directories.told(from.Box, uint64(news.Knowledge.Known)) {
+	if ask && g.directories.addSource(from.Box, uint64(news.Knowledge.Known)) {
 		g.work.Go(g.directories.run)
 	}
 	if learnt {
--- a/pkg/gateway/pending.go
+++ b/pkg/gateway/pending.go
@@ -62,9 +62,9 @@
 	select {
 	case v := <-p.decided:
 		if v.endpoint != "" {
-			p.remote.stream.Send(endMessage(id, dispatch.Unused{}))
+			p.remote.stream.Send(encodeOutcome(id, dispatch.Unused{}))
 		}
 	default:
-		p.remote.stream.Send(withdrawMessage(id))
+		p.remote.stream.Send(encodeWithdraw(id))
 	}
 }
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/plain.go
@@ -30,16 +30,16 @@
 		} else if err == nil {
 			status := reply.Head.StatusCode()
 			good := status < fasthttp.StatusInternalServerError
-			if err = c.passWhole(reply); err == nil {
+			if err = c.forwardWhole(reply); err == nil {
 				c.logEndpointError(to, status)
 				if good {
-					c.noteWhole(reply)
+					c.clearFingerprint(reply)
 				}
 				c.settlePlain(to, good, time.Since(began))
 				return nil
 			}
 		}
-		if refusal := c.next(to, err); refusal != nil {
+		if refusal := c.handleFailure(to, err); refusal != nil {
 			return refusal
 		}
 	}
@@ -51,7 +51,7 @@
 // worthAnother tells that an error may be had better elsewhere.
 func (c *call) canRetryElsewhere(reply *endpoint.Reply) bool {
 	return reply.Head.StatusCode() >= fasthttp.StatusInternalServerError && c.route.Repeatable &&
-		c.life.Attempts() < c.route.MaxAttempts && c.ctx.Err() == nil && c.gateway.budget.has(c.service.Name)
+		c.life.Attempts() < c.route.MaxAttempts && c.ctx.Err() == nil && c.gateway.budget.canTake(c.service.Name)
 }
 
 func (c *call) settlePlain(to destination, good bool, took time.Duration) {
@@ -61,7 +61,7 @@
 		c.gateway.Metrics.Answered(c.customer, c.route.Name, time.Since(c.arrived))
 	}
 	c.gateway.rollouts.recordAnswer(&to.Endpoint, c.route.Name, !good, took)
-	to.settle(how, took)
+	to.finishTimed(how, took)
 }
 
 func (c *call) choosePlain() (to destination, refusal *request.Refusal) {
@@ -72,7 +72,7 @@
 	if side := c.gateway.rollouts.pickSide(c.service.Name); side != (rollout.Side{}) {
 		endpoints = slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !side.Admits(e.Release) })
 	}
-	endpoints = c.withinReach(endpoints)
+	endpoints = c.exposableEndpoints(endpoints)
 	chosen, state := c.gateway.health.choose(endpoints, c.excluded, c.gateway.Settings.Zone)
 	if state == nil && len(c.excluded) > 0 {
 		// All have failed this request once; one of them is better than none.
@@ -80,16 +80,16 @@
 		chosen, state = c.gateway.health.choose(endpoints, nil, c.gateway.Settings.Zone)
 	}
 	if state == nil {
-		c.unbook()
+		c.releaseRetry()
 		return to, c.refusePlain(endpoints)
 	}
 	settle := func(how outcome, took time.Duration) { c.gateway.health.finish(chosen.ID, state, how, took) }
 	return destination{
-		Endpoint: chosen,
-		finish:   func(how outcome) { settle(how, 0) },
-		settle:   settle,
+		Endpoint:    chosen,
+		finish:      func(how outcome) { settle(how, 0) },
+		finishTimed: settle,
 
-		suspended: c.gateway.waking.Noticed(),
+		suspendedTotal: c.gateway.suspensions.Noticed(),
 	}, nil
 }
 
@@ -100,5 +100,5 @@
 	if until := c.gateway.rests.firstEnd(endpoints, now); !until.IsZero() {
 		return notRun(request.NoEndpoint, "all endpoints of the service asked for rest", dispatch.AfterRest(until.Sub(now), rand.Float64()))
 	}
-	return notRun(request.NoEndpoint, "the service has no endpoint now", comeBackAfterFailure())
+	return notRun(request.NoEndpoint, "the service has no endpoint now", failureRetryDelay())
 }
--- a/pkg/gateway/pool.go
+++ b/pkg/gateway/pool.go
@@ -212,7 +212,7 @@
 	}
 	p.mu.Unlock()
 	if group != nil {
-		group.noteRest(rest)
+		group.recordRest(rest)
 	}
 }
 
--- a/pkg/gateway/memory.go
+++ b/pkg/gateway/promptcache.go
@@ -19,9 +19,9 @@
 
 const (
 	// listTime bounds the wait for one engine's account of its memory.
-	listTime = time.Second
+	listTimeout = time.Second
 	// listsAtOnce bounds the engines that are asked at once.
-	listsAtOnce = 12
+	maxConcurrentLists = 12
 )
 
 // learnMemories asks the engines what they keep, once, where a box that has just
@@ -30,14 +30,14 @@
 // that does not yet know the fleet may think that it dispatches, and waits: with 295
 // boxes that all asked 301 engines, a box took 1.3 s for it, and was short of processor
 // time as long. The lock is held.
-func (s *scheduler) learnMemories() {
+func (s *scheduler) learnPromptCaches() {
 	if s.cachesKnown || !s.pool.Warm {
 		return
 	}
 	s.cachesKnown = true
 	s.gateway.work.Go(func() error {
-		if s.awaitSettled() && s.dispatches() {
-			s.listMemories(s.members())
+		if s.awaitSettled() && s.isDispatcher() {
+			s.listPromptCaches(s.members())
 			return nil
 		}
 		s.mu.Lock()
@@ -48,13 +48,13 @@
 }
 
 // settledLook is the time between two looks whether this box knows the fleet.
-const settledLook = 50 * time.Millisecond
+const settledCheckInterval = 50 * time.Millisecond
 
 // awaitSettled waits until this box knows the fleet. It reports false if the box stops
 // first.
 func (s *scheduler) awaitSettled() bool {
 	for !s.gateway.fleet.IsSettled(time.Now()) {
-		if interval.Wait(s.gateway.over, settledLook) != nil {
+		if interval.Wait(s.gateway.workContext, settledCheckInterval) != nil {
 			return false
 		}
 	}
@@ -62,7 +62,7 @@
 }
 
 // dispatches tells whether this box dispatches for the group, for itself or others.
-func (s *scheduler) dispatches() bool {
+func (s *scheduler) isDispatcher() bool {
 	if s.dispatcher() == s.gateway.Settings.Name {
 		return true
 	}
@@ -77,13 +77,13 @@
 	return slices.Clone(s.endpoints)
 }
 
-func (s *scheduler) listMemories(engines []route.Endpoint) {
+func (s *scheduler) listPromptCaches(engines []route.Endpoint) {
 	group := errgroup.Group{}
-	group.SetLimit(listsAtOnce)
+	group.SetLimit(maxConcurrentLists)
 	began := time.Now()
 	for _, engine := range engines {
 		group.Go(func() error {
-			kept, err := s.gateway.listMemory(engine)
+			kept, err := s.gateway.listPromptCache(engine)
 			if err != nil {
 				s.log.Warn("memory of an engine not listed", zap.String("Endpoint", engine.ID), zap.Error(err))
 				return nil
@@ -102,9 +102,9 @@
 }
 
 // listMemory asks one engine what it keeps.
-func (g *Gateway) listMemory(engine route.Endpoint) (kept dispatch.Kept, err error) {
+func (g *Gateway) listPromptCache(engine route.Endpoint) (kept dispatch.Kept, err error) {
 	defer func() { err = trace.Wrap(err, "asking engine %s what it keeps", engine.ID) }()
-	ctx, cancel := context.WithTimeout(g.over, listTime)
+	ctx, cancel := context.WithTimeout(g.workContext, listTimeout)
 	defer cancel()
 	request := fasthttp.AcquireRequest()
 	request.Header.SetHost(engine.Address)
@@ -113,7 +113,7 @@
 		Request: request,
 		Sending: func() error {
 			if !g.admits(&engine) {
-				return errTakenBack
+				return errNotAdmitted
 			}
 			return nil
 		},
--- a/pkg/gateway/deadly.go
+++ b/pkg/gateway/quarantine.go
@@ -23,9 +23,9 @@
 
 // refuseDeadly refuses a request under which too many endpoints have ended, at every box
 // alike; nil where it may be sent.
-func (c *call) refuseDeadly() *request.Refusal {
+func (c *call) refuseQuarantined() *request.Refusal {
 	now := time.Now()
-	verdict := c.gateway.ledger.Judge(c.fingerprint, now)
+	verdict := c.gateway.ledger.Check(c.fingerprint, now)
 	if !verdict.Quarantined() {
 		return nil
 	}
@@ -35,12 +35,12 @@
 
 // withinReach are the endpoints that a request may go to. Once one has ended under it, as
 // many more may run it at once, from this box, as may still end.
-func (c *call) withinReach(endpoints []route.Endpoint) []route.Endpoint {
-	verdict := c.gateway.ledger.Judge(c.fingerprint, time.Now())
+func (c *call) exposableEndpoints(endpoints []route.Endpoint) []route.Endpoint {
+	verdict := c.gateway.ledger.Check(c.fingerprint, time.Now())
 	if verdict.Ends == 0 {
 		return endpoints
 	}
-	running := c.gateway.lives.running(c.fingerprint)
+	running := c.gateway.attempts.endpointsRunning(c.fingerprint)
 	if len(running) < verdict.Allowed {
 		return endpoints
 	}
@@ -48,40 +48,40 @@
 }
 
 // noteWhole notes that the request was answered to its end, which no deadly one is.
-func (c *call) noteWhole(reply *endpoint.Reply) {
+func (c *call) clearFingerprint(reply *endpoint.Reply) {
 	if !reply.Framed() {
 		return
 	}
 	if c.gateway.ledger.Clear(c.fingerprint, c.service.Name, time.Now()) {
 		c.log().Info("bystander answered", zap.String("Request", c.ID), zap.Stringer("Fingerprint", c.fingerprint))
-		c.gateway.endsChanged()
+		c.gateway.publishEnds()
 	}
 }
 
 // endsChanged has other boxes told, and the store, what this one saw.
-func (g *Gateway) endsChanged() {
+func (g *Gateway) publishEnds() {
 	g.exchange.SendNow()
 	g.registry.PersistQuarantine()
 }
 
 // outcomeOf tells what an attempt that broke says of its endpoint, and counts it where the
 // endpoint ended.
-func (c *call) outcomeOf(to destination, err error) outcome {
+func (c *call) classifyBroken(to destination, err error) outcome {
 	if !hasEnded(to.Endpoint, c.gateway.registry.Directory(), err) {
 		return outcomeFailed
 	}
 	now := time.Now()
-	life := quarantine.LifeOf(to.Service, to.ID, to.Born)
-	c.end = c.gateway.ledger.Note(c.fingerprint, life, now)
-	c.gateway.supposed.add(life, to.Endpoint, c.gateway.registry.Knowledge().Looks, now)
-	c.gateway.endsChanged()
+	instance := quarantine.InstanceOf(to.Service, to.ID, to.Born)
+	c.end = c.gateway.ledger.RecordEnd(c.fingerprint, instance, now)
+	c.gateway.unconfirmed.add(instance, to.Endpoint, c.gateway.registry.Knowledge().Looks, now)
+	c.gateway.publishEnds()
 	c.log().Info("endpoint ended under a request",
 		zap.String("Request", c.ID),
 		zap.Stringer("Fingerprint", c.fingerprint),
 		zap.String("Customer", c.customer),
 		zap.String("Route", c.route.Name),
 		zap.String("Endpoint", to.ID),
-		zap.Int("Ends", c.gateway.ledger.Judge(c.fingerprint, now).Ends))
+		zap.Int("Ends", c.gateway.ledger.Check(c.fingerprint, now).Ends))
 	return outcomeEnded
 }
 
@@ -97,7 +97,7 @@
 		return false
 	case errors.Is(err, errRestarted):
 		return true
-	case isBrokenOff(err):
+	case isConnectionLost(err):
 		return true
 	case errors.Is(err, errStalled) || errors.Is(err, syscall.ETIMEDOUT):
 		return !listed || now.Renews(&chosen)
@@ -106,7 +106,7 @@
 }
 
 // isBrokenOff tells of a connection that the other side ended in the middle of an answer.
-func isBrokenOff(err error) bool {
+func isConnectionLost(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
@@ -115,69 +115,69 @@
 	// for the end to be taken back: an endpoint's entry goes after three heartbeats of
 	// some 1.2 s, a look at the entries takes as long, and one that went in an outage of
 	// the store is used for two seconds more.
-	livesAfter = 8 * time.Second
+	retractDelay = 8 * time.Second
 	// supposedFor is when an end that could not be told apart stands.
-	supposedFor = time.Minute
+	unconfirmedEndTTL = time.Minute
 	// supposedLook is the time between two looks at these ends, and forgetLook that between two
 	// looks for what is old: after a crash of a zone these go over thousands, a millisecond
 	// long.
-	supposedLook = 500 * time.Millisecond
-	forgetLook   = 10 * time.Second
+	endCheckInterval     = 500 * time.Millisecond
+	ledgerExpiryInterval = 10 * time.Second
 )
 
 // supposedEnds are the endpoints that this box took for ended, until that is certain.
-type supposedEnds struct {
-	mu    sync.Mutex
-	lives map[quarantine.Life]*supposedEnd
+type unconfirmedEnds struct {
+	mu         sync.Mutex
+	byInstance map[quarantine.Instance]*unconfirmedEnd
 }
 
-type supposedEnd struct {
+type unconfirmedEnd struct {
 	endpoint route.Endpoint
 	at       time.Time
 	// looks is the number of the last look at the entries that came too early to count.
-	looks uint64
+	polls uint64
 }
 
-func (u *supposedEnds) add(life quarantine.Life, endpoint route.Endpoint, looks uint64, now time.Time) {
+func (u *unconfirmedEnds) add(instance quarantine.Instance, endpoint route.Endpoint, polls uint64, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.lives == nil {
-		u.lives = map[quarantine.Life]*supposedEnd{}
+	if u.byInstance == nil {
+		u.byInstance = map[quarantine.Instance]*unconfirmedEnd{}
 	}
-	u.lives[life] = &supposedEnd{endpoint: endpoint, at: now, looks: looks}
+	u.byInstance[instance] = &unconfirmedEnd{endpoint: endpoint, at: now, polls: polls}
 }
 
 // settle returns the endpoints that live after all, by what the registry knows now.
-func (u *supposedEnds) settle(directory *route.Directory, looks uint64, now time.Time) (alive []quarantine.Life) {
+func (u *unconfirmedEnds) resolve(directory *route.Directory, polls uint64, now time.Time) (alive []quarantine.Instance) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for life, end := range u.lives {
+	for instance, end := range u.byInstance {
 		found, listed := directory.Find(end.endpoint.ID)
 		age := now.Sub(end.at)
 		switch {
-		case !listed || found.Renews(&end.endpoint) || age > supposedFor:
-			delete(u.lives, life)
-		case age < livesAfter:
-			end.looks = looks
-		case looks > end.looks:
-			alive = append(alive, life)
-			delete(u.lives, life)
+		case !listed || found.Renews(&end.endpoint) || age > unconfirmedEndTTL:
+			delete(u.byInstance, instance)
+		case age < retractDelay:
+			end.polls = polls
+		case polls > end.polls:
+			alive = append(alive, instance)
+			delete(u.byInstance, instance)
 		}
 	}
 	return alive
 }
 
 // settleEnds takes back the ends of endpoints that live.
-func (g *Gateway) settleEnds() {
+func (g *Gateway) retractEnds() {
 	now := time.Now()
 	directory := g.registry.Directory()
 	if directory == nil {
 		return
 	}
-	for _, life := range g.supposed.settle(directory, g.registry.Knowledge().Looks, now) {
-		if count := g.ledger.TakeBack(life, now); count > 0 {
+	for _, instance := range g.unconfirmed.resolve(directory, g.registry.Knowledge().Looks, now) {
+		if count := g.ledger.Retract(instance, now); count > 0 {
 			g.log.Info("endpoint lives, answers only broke off", zap.Int("Requests", count))
-			g.endsChanged()
+			g.publishEnds()
 		}
 	}
 }
--- a/pkg/gateway/deadly_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -58,29 +58,29 @@
 
 func TestSupposedEnds(t *testing.T) {
 	start := time.Now()
-	life := quarantine.LifeOf("llm", "engine", 1)
-	settled := func(directory *route.Directory, looks uint64, times ...time.Duration) (alive int) {
-		u := &supposedEnds{}
-		u.add(life, engineAt(1), 10, start)
+	instance := quarantine.InstanceOf("llm", "engine", 1)
+	resolved := func(directory *route.Directory, polls uint64, times ...time.Duration) (alive int) {
+		u := &unconfirmedEnds{}
+		u.add(instance, engineAt(1), 10, start)
 		for _, after := range times {
-			alive += len(u.settle(directory, looks+uint64(after/time.Second), start.Add(after)))
+			alive += len(u.resolve(directory, polls+uint64(after/time.Second), start.Add(after)))
 		}
 		return alive
 	}
-	all := []time.Duration{time.Second, livesAfter - 1, livesAfter + time.Second, livesAfter + 2*time.Second}
+	all := []time.Duration{time.Second, retractDelay - 1, retractDelay + time.Second, retractDelay + 2*time.Second}
 	Convey("An endpoint that is listed still, by a look that came late enough, has not ended", t, func() {
-		So(settled(listing(engineAt(1)), 10, all...), ShouldEqual, 1)
-		So(settled(listing(engineAt(1)), 10, all[:2]...), ShouldEqual, 0)
+		So(resolved(listing(engineAt(1)), 10, all...), ShouldEqual, 1)
+		So(resolved(listing(engineAt(1)), 10, all[:2]...), ShouldEqual, 0)
 	})
 	Convey("Without a look since, nothing is taken back", t, func() {
-		u := &supposedEnds{}
-		u.add(life, engineAt(1), 10, start)
-		So(u.settle(listing(engineAt(1)), 12, start.Add(livesAfter-1)), ShouldBeEmpty)
-		So(u.settle(listing(engineAt(1)), 12, start.Add(livesAfter+time.Second)), ShouldBeEmpty)
-		So(u.settle(listing(engineAt(1)), 13, start.Add(livesAfter+time.Second)), ShouldHaveLength, 1)
+		u := &unconfirmedEnds{}
+		u.add(instance, engineAt(1), 10, start)
+		So(u.resolve(listing(engineAt(1)), 12, start.Add(retractDelay-1)), ShouldBeEmpty)
+		So(u.resolve(listing(engineAt(1)), 12, start.Add(retractDelay+time.Second)), ShouldBeEmpty)
+		So(u.resolve(listing(engineAt(1)), 13, start.Add(retractDelay+time.Second)), ShouldHaveLength, 1)
 	})
 	Convey("One whose entry went, or that started again, has ended", t, func() {
-		So(settled(listing(), 10, all...), ShouldEqual, 0)
-		So(settled(listing(engineAt(2)), 10, all...), ShouldEqual, 0)
+		So(resolved(listing(), 10, all...), ShouldEqual, 0)
+		So(resolved(listing(engineAt(2)), 10, all...), ShouldEqual, 0)
 	})
 }
--- a/pkg/gateway/remote.go
+++ b/pkg/gateway/remote.go
@@ -35,7 +35,7 @@
 	p := &pending{remote: r, queued: make(chan struct{}, 1), decided: make(chan verdict, 1), askedAt: time.Now()}
 	s.mu.Lock()
 	s.pending[req.ID] = p
-	sent := r.stream.Send(askMessage(req, "", false))
+	sent := r.stream.Send(encodeAsk(req, "", false))
 	timeout := s.responses.timeout(req.Aim)
 	if r.respondedAt.IsZero() {
 		timeout = maxResponseTimeout
@@ -51,7 +51,7 @@
 	for {
 		select {
 		case v := <-p.decided:
-			return s.accept(req, v, r), nil
+			return s.recordGrant(req, v, r), nil
 		case <-p.queued:
 			hold := time.Duration(s.pool.Rules.Hold * float64(req.Aim))
 			due = time.Now().Add(hold + verdictSlack + timeout)
@@ -194,7 +194,7 @@
 func (s *scheduler) openStream(box string) (*peer.DispatchStream, error) {
 	g := s.gateway
 	if !g.exchange.IsConnected(box) {
-		ctx, cancel := context.WithTimeout(g.over, sessionOpenTimeout)
+		ctx, cancel := context.WithTimeout(g.workContext, sessionOpenTimeout)
 		defer cancel()
 		if err := g.exchange.Connect(ctx, box, g.fleet.AddressOf(box)); err != nil {
 			return nil, err
@@ -214,7 +214,7 @@
 	r.usedAt = now
 	for _, rest := range s.gateway.rests.active(now) {
 		if s.has(rest.Endpoint) {
-			r.stream.Send(restMessage(rest, now))
+			r.stream.Send(encodeRest(rest, now))
 		}
 	}
 	start := s.gateway.fleet.IncarnationOf(r.box)
@@ -222,22 +222,22 @@
 	s.syncedStart = start
 	if !again || s.persistent {
 		for _, kept := range s.pool.Kept() {
-			r.stream.Send(keptMessage(kept))
+			r.stream.Send(encodeKept(kept))
 		}
 	}
 	running := make([]*dispatch.Ask, 0, len(s.running))
 	for _, one := range s.running {
-		r.stream.Send(askMessage(one.ask, one.endpoint, one.begun))
+		r.stream.Send(encodeAsk(one.ask, one.endpoint, one.begun))
 		running = append(running, one.ask)
 	}
 	for _, served := range s.granted.Told(running, now) {
-		r.stream.Send(servedMessage(served))
+		r.stream.Send(encodeServed(served))
 	}
 	s.log.Info("another box dispatches",
 		zap.String("Service", s.groupName),
 		zap.String("Box", r.box),
 		zap.Int("Running", len(s.running)))
-	s.gateway.work.Go(func() error { return r.stream.Write(s.gateway.over) })
+	s.gateway.work.Go(func() error { return r.stream.Write(s.gateway.workContext) })
 	s.gateway.work.Go(func() error {
 		s.receiveVerdicts(r)
 		return nil
@@ -284,10 +284,10 @@
 		return
 	}
 	r.verdictAt = r.respondedAt
-	v := verdictOf(message)
+	v := decodeVerdict(message)
 	v.decidedBy = r.box
 	if !s.resolvePending(message.ID, r, v) && v.endpoint != "" {
-		r.stream.Send(endMessage(message.ID, dispatch.Unused{}))
+		r.stream.Send(encodeOutcome(message.ID, dispatch.Unused{}))
 	}
 }
 
@@ -361,11 +361,11 @@
 		s.pool.Learn(dispatch.Kept{
 			Endpoint: kind.Kept.Endpoint,
 			Born:     kind.Kept.Born,
-			Parts:    partsOf(kind.Kept.PartIDs, kind.Kept.PartTokens),
+			Parts:    decodeParts(kind.Kept.PartIDs, kind.Kept.PartTokens),
 		}, now)
 		return
 	case *peerpb.Call_Rest:
-		s.pool.Rest(streamID, restFrom(kind.Rest, now), now)
+		s.pool.Rest(streamID, decodeRest(kind.Rest, now), now)
 		return
 	case *peerpb.Call_Served:
 		s.recordServed(streamID, kind.Served, now)
@@ -373,7 +373,7 @@
 	case *peerpb.Call_Begin:
 		s.pool.Begin(kind.Begin, now)
 	case *peerpb.Call_End:
-		s.pool.End(kind.End.ID, outcomeOf(kind.End), now)
+		s.pool.End(kind.End.ID, decodeOutcome(kind.End), now)
 	case *peerpb.Call_Withdraw:
 		if !s.pool.Withdraw(kind.Withdraw) {
 			s.pool.End(kind.Withdraw, dispatch.Unused{}, now)
@@ -393,13 +393,13 @@
 }
 
 func (s *scheduler) handleRequest(streamID uint64, message *peerpb.Ask, stream *peer.DispatchStream, now time.Time) {
-	req := askOf(message, streamID, now)
+	req := decodeAsk(message, streamID, now)
 	if message.Endpoint != "" {
 		s.pool.Adopt(req, message.Endpoint, message.Begun, now)
 		return
 	}
 	s.pool.Routers = 1
-	s.learnMemories()
+	s.learnPromptCaches()
 	s.pool.Submit(req, now)
 	s.decide()
 	if s.pool.Waits(req.ID) {
--- a/pkg/gateway/rests.go
+++ b/pkg/gateway/rests.go
@@ -23,7 +23,7 @@
 func (r *rests) record(rest lifecycle.Rest, now time.Time) (longer bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.requested.Ask(rest, now)
+	return r.requested.Add(rest, now)
 }
 
 // binds tells whether an endpoint rests from this box.
@@ -98,7 +98,7 @@
 	switch {
 	case answered.RestProblem != nil:
 		return 0, answered.RestProblem
-	case answered.Rest > lifecycle.MostRest:
+	case answered.Rest > lifecycle.MaxRest:
 		return 0, errRestTooLong
 	}
 	return answered.Rest, nil
@@ -110,7 +110,7 @@
 	if !g.rests.record(rest, now) {
 		return
 	}
-	g.Metrics.Rested()
+	g.Metrics.RestRequested()
 	log.Info("endpoint asks for rest", zap.String("Endpoint", rest.Endpoint), zap.Duration("Rest", rest.Until.Sub(now)))
 	if p := g.pool(service); p != nil {
 		p.applyRest(rest)
--- a/pkg/gateway/rests_test.go
+++ b/pkg/gateway/rests_test.go
@@ -23,7 +23,7 @@
 func TestPlainRests(t *testing.T) {
 	endpoints := endpointsNamed("a", "b")
 	newHealth := func() *health {
-		return &health{log: zap.NewNop(), rests: &rests{}, coldPart: func(string, time.Time) float64 { return 1 }}
+		return &health{log: zap.NewNop(), rests: &rests{}, coldFraction: func(string, time.Time) float64 { return 1 }}
 	}
 	now := time.Now()
 	Convey("An endpoint that asked for rest is not chosen, not even where it is the last one", t, func() {
@@ -81,29 +81,29 @@
 		for range 50 {
 			taken, ok := b.take("api")
 			So(ok, ShouldBeTrue)
-			b.giveBack("api", taken)
+			b.refund("api", taken)
 		}
 		So(countTakes(b), ShouldEqual, 2)
 	})
 	Convey("It is given back once", t, func() {
 		b := &retryBudget{settings: Settings{RetryRatio: 0.2, RetryExtra: 2, RetryWindow: time.Hour}, peers: func() int { return 0 }}
 		taken, _ := b.take("api")
-		c := &call{gateway: &Gateway{budget: b}, booked: taken}
+		c := &call{gateway: &Gateway{budget: b}, reserved: taken}
 		c.service.Name = "api"
-		c.unbook()
-		c.unbook()
+		c.releaseRetry()
+		c.releaseRetry()
 		So(countTakes(b), ShouldEqual, 1)
 	})
 }
 
 func TestRestOf(t *testing.T) {
 	Convey("A rest is taken up to an hour; a longer one, or one that can not be read, is none", t, func() {
-		for _, taken := range []time.Duration{0, time.Millisecond, lifecycle.MostRest} {
+		for _, taken := range []time.Duration{0, time.Millisecond, lifecycle.MaxRest} {
 			length, problem := restOf(ResponseInfo{Rest: taken})
 			So(problem, ShouldBeNil)
 			So(length, ShouldEqual, taken)
 		}
-		for _, answered := range []ResponseInfo{{Rest: lifecycle.MostRest + 1}, {RestProblem: errRestTooLong}} {
+		for _, answered := range []ResponseInfo{{Rest: lifecycle.MaxRest + 1}, {RestProblem: errRestTooLong}} {
 			length, problem := restOf(answered)
 			So(problem, ShouldNotBeNil)
 			So(length, ShouldEqual, 0)
--- a/pkg/gateway/rollouts.go
+++ b/pkg/gateway/rollouts.go
@@ -229,7 +229,7 @@
 	if m == nil {
 		return nil
 	}
-	return peer.EncodeRolloutTally(m.Order.Version, m.answers.Counts(), g.lives.others(service, m.Order.Target))
+	return peer.EncodeRolloutTally(m.Order.Version, m.answers.Counts(), g.attempts.countOtherReleases(service, m.Order.Target))
 }
 
 // reporters are the boxes that this one asks.
@@ -278,7 +278,7 @@
 		if m.isOver(time.Now()) {
 			continue
 		}
-		m.provers = firstBoxes("roll-out of "+service, boxes, maxProvers)
+		m.provers = topRankedBoxes("roll-out of "+service, boxes, maxProvers)
 		m.share = 0
 		if slices.Contains(m.provers, g.Settings.Name) {
 			all := m.Order.Share(rollout.Proving, time.Time{}, time.Time{})
@@ -318,7 +318,7 @@
 	r.mu.Lock()
 	before, _ = m.Verdict()
 	if !before.Final() && (m.targets > 0 || before != rollout.Proving) {
-		verdict := m.evaluate(time.Now(), r.gateway.lives.others(m.Order.Service, m.Order.Target))
+		verdict := m.evaluate(time.Now(), r.gateway.attempts.countOtherReleases(m.Order.Service, m.Order.Target))
 		r.announce(m, before, verdict)
 	}
 	verdict, _ := m.Verdict()
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -44,9 +44,9 @@
 	}
 	g.prepare()
 	g.work = &errgroup.Group{}
-	g.over, g.endWork = context.WithCancelCause(context.Background())
+	g.workContext, g.cancelWork = context.WithCancelCause(context.Background())
 	t.Cleanup(func() {
-		g.endWork(nil)
+		g.cancelWork(nil)
 		if err := g.work.Wait(); err != nil {
 			t.Error(err)
 		}
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -53,7 +53,7 @@
 	// pending are this box's requests that wait for a verdict.
 	pending map[string]*pending
 	// running are this box's granted requests, told to a box that takes over.
-	running map[string]*running
+	running map[string]*grantedRequest
 	// routers are those that ask this box, by number.
 	streams map[uint64]*incomingStream
 	// lastRouter is the number of the last of them; ownRouter is this box's.
@@ -74,7 +74,7 @@
 	remote     *remote
 	aloneSince time.Time
 	// cold is this box's part of what cold engines take.
-	cold coldPart
+	cold coldFraction
 	// opening is the stream that is being opened, if any.
 	opening *opening
 	// ranking orders the boxes that may dispatch, as of some candidates.
@@ -156,7 +156,7 @@
 			Ledger: &g.ledger,
 		},
 		pending:   map[string]*pending{},
-		running:   map[string]*running{},
+		running:   map[string]*grantedRequest{},
 		streams:   map[uint64]*incomingStream{},
 		leftAt:    map[string]time.Time{},
 		requested: dispatch.History{Window: rules.Window},
@@ -167,7 +167,7 @@
 
 		aloneSince: time.Now(),
 	}
-	ctx, cancel := context.WithCancel(g.over)
+	ctx, cancel := context.WithCancel(g.workContext)
 	s.cancel = cancel
 	g.work.Go(func() error { return s.runDecisions(ctx) })
 	return s
@@ -283,7 +283,7 @@
 // look delivers what the pool decides. The lock is held.
 func (s *scheduler) decideNow(now time.Time) {
 	s.decidedAt = now
-	s.pool.ColdPart = s.coldPart(now)
+	s.pool.ColdPart = s.coldFraction(now)
 	if contested := s.isContested(); contested != s.pool.Contested {
 		s.pool.Contested = contested
 		s.log.Info("dispatch contested", zap.String("Service", s.groupName), zap.Bool("Contested", contested))
@@ -310,7 +310,7 @@
 		return
 	}
 	to := s.streams[req.Router]
-	if to != nil && to.stream.Send(verdictMessage(req.ID, v)) {
+	if to != nil && to.stream.Send(encodeVerdict(req.ID, v)) {
 		return
 	}
 	s.log.Warn("verdict not delivered",
@@ -330,14 +330,14 @@
 // to decide alone.
 func (s *scheduler) acquire(ctx context.Context, req *dispatch.Ask, alone bool) (verdict, error) {
 	req.Router = ownStream
-	if why := s.enter(req.Customer); why != dispatch.Admitted {
-		return s.turnHere(why, req), nil
+	if why := s.enterQueue(req.Customer); why != dispatch.Admitted {
+		return s.refuseLocally(why, req), nil
 	}
 	s.mu.Lock()
-	s.noteAsked(req, time.Now())
+	s.recordAsk(req, time.Now())
 	s.mu.Unlock()
 	v, err := s.req(ctx, req, alone)
-	s.leave(req.Customer, v)
+	s.leaveQueue(req.Customer, v)
 	return v, err
 }
 
@@ -376,14 +376,14 @@
 	s.pending[req.ID] = p
 	s.preparePool()
 	if routers == 1 {
-		s.learnMemories()
+		s.learnPromptCaches()
 	}
 	s.pool.Submit(req, time.Now())
 	s.decide()
 	s.mu.Unlock()
 	select {
 	case v := <-p.decided:
-		return s.accept(req, v, nil), nil
+		return s.recordGrant(req, v, nil), nil
 	case <-ctx.Done():
 		s.cancelPending(req.ID, p)
 		return verdict{}, context.Cause(ctx)
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -123,7 +123,7 @@
 		s.maxPause = max(s.maxPause, now.Sub(s.lastEventAt))
 	}
 	s.lastEventAt = now
-	s.call.guard.extend(s.call.pausePatience())
+	s.call.guard.extend(s.call.pauseStallTimeout())
 }
 
 // late tells that the stream was slower than its route aims for.
@@ -137,7 +137,7 @@
 func (s *stream) logSettled() {
 	c := s.call
 	late := s.isLate()
-	if !late && !sampled(c.ID) {
+	if !late && !isSampled(c.ID) {
 		return
 	}
 	c.log().Info("stream answered",
@@ -184,7 +184,7 @@
 func (s *stream) recordRollout(how outcome) {
 	c := s.call
 	switch {
-	case how.blames():
+	case how.isFailure():
 		c.gateway.rollouts.recordAnswer(&s.to.Endpoint, c.route.Name, true, 0)
 	case s.whole && s.events > 0:
 		c.gateway.rollouts.recordAnswer(&s.to.Endpoint, c.route.Name, false, s.lastEventAt.Sub(s.sentAt)/time.Duration(s.events))
@@ -204,13 +204,13 @@
 	if !s.settled {
 		how := outcomeUnknown
 		if !s.whole && c.ctx.Err() == nil && s.err != nil {
-			how = c.outcomeOf(s.to, s.err)
+			how = c.classifyBroken(s.to, s.err)
 		}
 		s.to.finish(how)
 		s.recordRollout(how)
 	}
 	if s.whole {
-		c.noteWhole(s.reply)
+		c.clearFingerprint(s.reply)
 		_ = c.life.Advance(request.Settled)
 		c.gateway.Metrics.Answered(c.customer, c.route.Name, time.Since(c.arrived))
 		s.logSettled()
--- a/pkg/gateway/suspension.go
+++ b/pkg/gateway/suspension.go
@@ -56,7 +56,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.calls {
-		c.endAfter(c.left())
+		c.endAfter(c.remaining())
 	}
 }
 
@@ -68,7 +68,7 @@
 
 // lookForSuspension is called before anything is sent, and from time to time.
 func (g *Gateway) checkSuspension() {
-	length, err := g.waking.Look()
+	length, err := g.suspensions.Look()
 	if err != nil {
 		g.log.Warn("suspension not known", zap.Error(err))
 		return
@@ -77,9 +77,9 @@
 		return
 	}
 	g.log.Warn("the machine was suspended", zap.Duration("For", length))
-	g.waking.endExpired()
+	g.suspensions.endExpired()
 	g.exchange.ReopenSessions()
-	if g.waking.refreshing.CompareAndSwap(false, true) {
+	if g.suspensions.refreshing.CompareAndSwap(false, true) {
 		g.work.Go(func() error {
 			g.refresh()
 			return nil
@@ -89,8 +89,8 @@
 
 // renew has the box look again at what it serves by.
 func (g *Gateway) refresh() {
-	defer g.waking.refreshing.Store(false)
-	ctx, cancel := context.WithTimeout(g.over, refreshTimeout)
+	defer g.suspensions.refreshing.Store(false)
+	ctx, cancel := context.WithTimeout(g.workContext, refreshTimeout)
 	defer cancel()
 	for {
 		err := g.registry.Refresh(ctx)
--- a/pkg/lifecycle/departure.go
+++ b/pkg/lifecycle/departure.go
@@ -14,6 +14,6 @@
 
 // Concerns tells whether facts of an endpoint are of the start that leaves, or of an earlier
 // one.
-func (d *Departure) Concerns(facts *Facts) bool {
+func (d *Departure) AppliesTo(facts *Facts) bool {
 	return !facts.Supersedes(&Facts{Born: d.Born})
 }
--- a/pkg/lifecycle/rests.go
+++ b/pkg/lifecycle/rests.go
@@ -18,28 +18,28 @@
 
 // MostRest is the longest rest that is taken for meant. An endpoint that asks for more
 // would in effect end, which it says in other ways.
-const MostRest = time.Hour
+const MaxRest = time.Hour
 
 // Rests are what endpoints asked of one box. The zero value is none. It is not safe for
 // concurrent use.
 type Rests struct {
 	byID map[string]Rest
 	// sweepAt is the number of rests at which those that are over are dropped.
-	sweepAt int
+	sweepThreshold int
 }
 
 // sweepLeast is the least number of rests that are looked through for those that are over.
-const sweepLeast = 64
+const minSweepThreshold = 64
 
 // Ask notes a rest. A shorter one does not cut a longer one of the same start, and one of
 // an earlier start changes nothing. It reports whether the endpoint rests longer now.
-func (r *Rests) Ask(rest Rest, now time.Time) (longer bool) {
-	known, had := r.byID[rest.Endpoint]
-	told, before := Facts{Born: rest.Born}, Facts{Born: known.Born}
+func (r *Rests) Add(rest Rest, now time.Time) (longer bool) {
+	known, exists := r.byID[rest.Endpoint]
+	reported, before := Facts{Born: rest.Born}, Facts{Born: known.Born}
 	switch {
-	case had && told.Outdated(&before):
+	case exists && reported.Outdated(&before):
 		return false
-	case had && !told.Supersedes(&before):
+	case exists && !reported.Supersedes(&before):
 		longer = rest.Until.After(known.Until)
 		// Either may not tell its start: the word is then of the one that does.
 		rest.Born = max(rest.Born, known.Born)
@@ -59,19 +59,19 @@
 
 // sweep drops what is over, once there may be much of it.
 func (r *Rests) sweep(now time.Time) {
-	if len(r.byID) < max(r.sweepAt, sweepLeast) {
+	if len(r.byID) < max(r.sweepThreshold, minSweepThreshold) {
 		return
 	}
 	maps.DeleteFunc(r.byID, func(_ string, rest Rest) bool { return !now.Before(rest.Until) })
-	r.sweepAt = 2 * len(r.byID)
+	r.sweepThreshold = 2 * len(r.byID)
 }
 
 // Until is when the rest of an endpoint's start is over; it is zero or past where there is
 // none.
 func (r *Rests) Until(endpoint string, born int64) time.Time {
-	known, had := r.byID[endpoint]
+	known, exists := r.byID[endpoint]
 	now, asked := Facts{Born: born}, Facts{Born: known.Born}
-	if !had || now.Supersedes(&asked) {
+	if !exists || now.Supersedes(&asked) {
 		return time.Time{}
 	}
 	return known.Until
--- a/pkg/lifecycle/words_test.go
+++ b/pkg/lifecycle/rests_test.go
@@ -15,30 +15,30 @@
 	}
 	Convey("A shorter word does not cut a longer one", t, func() {
 		var r Rests
-		So(r.Ask(rest(0, 3*time.Second), start), ShouldBeTrue)
-		So(r.Ask(rest(0, time.Second), start), ShouldBeFalse)
+		So(r.Add(rest(0, 3*time.Second), start), ShouldBeTrue)
+		So(r.Add(rest(0, time.Second), start), ShouldBeFalse)
 		So(r.Until("e", 0), ShouldEqual, start.Add(3*time.Second))
-		So(r.Ask(rest(0, 4*time.Second), start), ShouldBeTrue)
+		So(r.Add(rest(0, 4*time.Second), start), ShouldBeTrue)
 		So(r.Until("e", 0), ShouldEqual, start.Add(4*time.Second))
 	})
 	Convey("A later start does, and an earlier one says nothing", t, func() {
 		var r Rests
-		r.Ask(rest(5, 3*time.Second), start)
+		r.Add(rest(5, 3*time.Second), start)
 		So(r.Until("e", 6).IsZero(), ShouldBeTrue)
 		So(r.Until("e", 5).IsZero(), ShouldBeFalse)
 		So(r.Until("e", 0).IsZero(), ShouldBeFalse)
-		So(r.Ask(rest(6, time.Second), start), ShouldBeTrue)
-		So(r.Ask(rest(5, time.Hour), start), ShouldBeFalse)
+		So(r.Add(rest(6, time.Second), start), ShouldBeTrue)
+		So(r.Add(rest(5, time.Hour), start), ShouldBeFalse)
 		So(r.Until("e", 6), ShouldEqual, start.Add(time.Second))
 	})
 	Convey("What is over is not told, and is forgotten", t, func() {
 		var r Rests
 		for i := range 10000 {
 			now := start.Add(time.Duration(i) * time.Second)
-			r.Ask(Rest{Endpoint: fmt.Sprint(i), Until: now.Add(3 * time.Second)}, now)
+			r.Add(Rest{Endpoint: fmt.Sprint(i), Until: now.Add(3 * time.Second)}, now)
 		}
 		So(r.All(start.Add(9999*time.Second)), ShouldHaveLength, 3)
-		So(len(r.byID), ShouldBeLessThanOrEqualTo, 2*sweepLeast)
+		So(len(r.byID), ShouldBeLessThanOrEqualTo, 2*minSweepThreshold)
 	})
 }
 
@@ -56,7 +56,7 @@
 			}
 			of := born - int64(rapid.IntRange(0, 1).Draw(t, "late"))
 			until := now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest")) * time.Millisecond)
-			r.Ask(Rest{Endpoint: "e", Born: of, Until: until}, now)
+			r.Add(Rest{Endpoint: "e", Born: of, Until: until}, now)
 			if until.After(latest[of]) {
 				latest[of] = until
 			}
@@ -71,8 +71,8 @@
 	Convey("The word of one start concerns it, earlier ones, and one that does not tell", t, func() {
 		d := Departure{Endpoint: "e", Born: 5}
 		for born, concerned := range map[int64]bool{0: true, 4: true, 5: true, 6: false} {
-			So(d.Concerns(&Facts{Born: born}), ShouldEqual, concerned)
+			So(d.AppliesTo(&Facts{Born: born}), ShouldEqual, concerned)
 		}
-		So((&Departure{Endpoint: "e"}).Concerns(&Facts{Born: 6}), ShouldBeTrue)
+		So((&Departure{Endpoint: "e"}).AppliesTo(&Facts{Born: 6}), ShouldBeTrue)
 	})
 }
--- a/pkg/lifecycle/life_test.go
+++ b/pkg/lifecycle/state_test.go
@@ -10,7 +10,7 @@
 
 var (
 	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	bound = Bound{For: 3 * time.Second, Most: 14.1}
+	bound = Bound{Duration: 3 * time.Second, MaxPerSecond: 14.1}
 )
 
 // mostInASecond is the largest number of times within any second.
@@ -28,10 +28,10 @@
 }
 
 // sendAll sends what the life takes, each millisecond.
-func sendAll(l *Life, from time.Time, length time.Duration, part float64) (sent []time.Time) {
+func sendAll(l *State, from time.Time, length time.Duration, fraction float64) (sent []time.Time) {
 	for now := from; now.Before(from.Add(length)); now = now.Add(time.Millisecond) {
-		if l.Takes(bound, part, now) {
-			l.NoteSent(now)
+		if l.CanSend(bound, fraction, now) {
+			l.RecordSent(now)
 			sent = append(sent, now)
 		}
 	}
@@ -40,26 +40,26 @@
 
 func TestCold(t *testing.T) {
 	Convey("A cold endpoint gets no more than its bound in any second, and 0.7 of it at least", t, func() {
-		l := &Life{Facts: Facts{ColdUntil: start.Add(time.Minute)}}
+		l := &State{Facts: Facts{ColdUntil: start.Add(time.Minute)}}
 		sent := sendAll(l, start, 10*time.Second, 1)
 		So(mostInASecond(sent), ShouldBeLessThanOrEqualTo, 14)
-		So(len(sent), ShouldBeGreaterThanOrEqualTo, int(0.7*bound.Most*10))
+		So(len(sent), ShouldBeGreaterThanOrEqualTo, int(0.7*bound.MaxPerSecond*10))
 	})
 	Convey("A warm one gets all, and what it got counts once it is cold", t, func() {
-		l := &Life{}
+		l := &State{}
 		So(sendAll(l, start, 100*time.Millisecond, 1), ShouldHaveLength, 100)
-		l.Learn(Facts{ColdUntil: start.Add(time.Minute)}, bound, start)
-		So(l.Takes(bound, 1, start.Add(time.Second)), ShouldBeFalse)
-		So(l.Takes(bound, 1, start.Add(2*time.Second)), ShouldBeTrue)
+		l.Update(Facts{ColdUntil: start.Add(time.Minute)}, bound, start)
+		So(l.CanSend(bound, 1, start.Add(time.Second)), ShouldBeFalse)
+		So(l.CanSend(bound, 1, start.Add(2*time.Second)), ShouldBeTrue)
 	})
 	Convey("Where the service has no bound, it gets all", t, func() {
-		l := &Life{Facts: Facts{ColdUntil: start.Add(time.Minute)}}
-		So(l.Takes(Bound{}, 1, start), ShouldBeTrue)
+		l := &State{Facts: Facts{ColdUntil: start.Add(time.Minute)}}
+		So(l.CanSend(Bound{}, 1, start), ShouldBeTrue)
 	})
 	Convey("It counts as cold by conclusions, which end; its word that it is warm does not end them", t, func() {
-		l := &Life{}
-		l.Suppose(Returned, start.Add(3*time.Second))
-		l.Learn(Facts{}, bound, start)
+		l := &State{}
+		l.AssumeCold(Returned, start.Add(3*time.Second))
+		l.Update(Facts{}, bound, start)
 		cold, source := l.Cold(start.Add(2999 * time.Millisecond))
 		So(cold, ShouldBeTrue)
 		So(source, ShouldEqual, Returned)
@@ -67,9 +67,9 @@
 		So(cold, ShouldBeFalse)
 	})
 	Convey("It counts as cold once its zone's evacuation is withdrawn", t, func() {
-		l := &Life{Facts: Facts{Evacuated: true}}
-		So(l.Takes(bound, 1, start), ShouldBeFalse)
-		l.Learn(Facts{}, bound, start)
+		l := &State{Facts: Facts{Evacuated: true}}
+		So(l.CanSend(bound, 1, start), ShouldBeFalse)
+		l.Update(Facts{}, bound, start)
 		cold, source := l.Cold(start.Add(time.Second))
 		So(cold, ShouldBeTrue)
 		So(source, ShouldEqual, Restored)
@@ -80,7 +80,7 @@
 	for name, facts := range map[string]Facts{"leaving": {Leaving: true}, "evacuated": {Evacuated: true}} {
 		Convey("Nothing is sent to an endpoint that is "+name, t, func() {
 			So(facts.Admits(), ShouldBeFalse)
-			So((&Life{Facts: facts}).Takes(Bound{}, 1, start), ShouldBeFalse)
+			So((&State{Facts: facts}).CanSend(Bound{}, 1, start), ShouldBeFalse)
 		})
 	}
 	Convey("A later start supersedes an earlier one; without a word of its start, none does", t, func() {
@@ -97,26 +97,26 @@
 // together, whenever facts come and whatever they conclude.
 func TestColdBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		parts := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 5).Draw(t, "parts")
+		fractions := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 5).Draw(t, "parts")
 		total := 0.0
-		for _, part := range parts {
-			total += part
+		for _, fraction := range fractions {
+			total += fraction
 		}
-		lives := make([]*Life, len(parts))
-		for i := range lives {
-			lives[i] = &Life{Facts: Facts{ColdUntil: start.Add(time.Hour)}}
+		states := make([]*State, len(fractions))
+		for i := range states {
+			states[i] = &State{Facts: Facts{ColdUntil: start.Add(time.Hour)}}
 		}
 		var sent []time.Time
 		for now := start; now.Before(start.Add(4 * time.Second)); now = now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond) {
-			for i, l := range lives {
-				for l.Takes(bound, parts[i]/max(1, total), now) {
-					l.NoteSent(now)
+			for i, l := range states {
+				for l.CanSend(bound, fractions[i]/max(1, total), now) {
+					l.RecordSent(now)
 					sent = append(sent, now)
 				}
 			}
 		}
-		if most := mostInASecond(sent); float64(most) > bound.Most {
-			t.Fatalf("%d requests in one second, of %.1f", most, bound.Most)
+		if most := mostInASecond(sent); float64(most) > bound.MaxPerSecond {
+			t.Fatalf("%d requests in one second, of %.1f", most, bound.MaxPerSecond)
 		}
 	})
 }
--- a/pkg/peer/conversions.go
+++ b/pkg/peer/conversions.go
@@ -224,7 +224,7 @@
 func EncodeEnd(end *quarantine.End) *peerpb.EndpointEnd {
 	return &peerpb.EndpointEnd{
 		Fingerprint: end.Fingerprint[:],
-		Life:        uint64(end.Life),
+		Life:        uint64(end.Instance),
 		Version:     end.Version,
 		Age:         end.Age.Microseconds(),
 	}
@@ -239,7 +239,7 @@
 		}
 		ends = append(ends, quarantine.End{
 			Fingerprint: fingerprint,
-			Life:        quarantine.Life(message.Life),
+			Instance:    quarantine.Instance(message.Life),
 			Version:     message.Version,
 			Age:         time.Duration(max(0, message.Age)) * time.Microsecond,
 		})
--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -56,7 +56,7 @@
 	// first mark of a stream is 0; the next is the one returned.
 	Since(since uint64, to string, now time.Time) (ends []quarantine.End, mark uint64)
 	// Gravest are those that a box has to know before it sends anything.
-	Gravest(now time.Time) []quarantine.End
+	MostSevere(now time.Time) []quarantine.End
 }
 
 // DepartureTeller gives peers the endpoints that said in an answer that they leave.
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -107,7 +107,7 @@
 		reply.Revision, reply.Content = e.States.Snapshot()
 		reply.Orders = e.orders()
 		if e.Ends != nil {
-			reply.Ends = EncodeEnds(e.Ends.Gravest(time.Now()))
+			reply.Ends = EncodeEnds(e.Ends.MostSevere(time.Now()))
 		}
 		if e.Departures != nil {
 			told, _ := e.Departures.Departures(0, "", time.Now())
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -22,7 +22,7 @@
 type Fingerprint [16]byte
 
 // Of is the fingerprint of a request.
-func Of(method, target, customer, body []byte) (f Fingerprint) {
+func FingerprintOf(method, target, customer, body []byte) (f Fingerprint) {
 	digest := sha256.New()
 	for _, field := range [][]byte{method, target, customer, body} {
 		writeField(digest, field)
@@ -48,7 +48,7 @@
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // Parse reads what String makes.
-func Parse(text string) (f Fingerprint, err error) {
+func ParseFingerprint(text string) (f Fingerprint, err error) {
 	defer func() { err = trace.Wrap(err, "reading fingerprint %q", text) }()
 	if hex.DecodedLen(len(text)) != len(f) {
 		return f, trace.BadParameter("it has %d characters", len(text))
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-func of(method, target, customer, body string) Fingerprint {
-	return Of([]byte(method), []byte(target), []byte(customer), []byte(body))
+func fingerprintOf(method, target, customer, body string) Fingerprint {
+	return FingerprintOf([]byte(method), []byte(target), []byte(customer), []byte(body))
 }
 
 func TestFingerprint(t *testing.T) {
@@ -18,19 +18,19 @@
 			draw := rapid.SliceOfN(rapid.StringN(0, 4, -1), 4, 4)
 			a, b := draw.Draw(t, "a"), draw.Draw(t, "b")
 			same := a[0] == b[0] && a[1] == b[1] && a[2] == b[2] && a[3] == b[3]
-			if (of(a[0], a[1], a[2], a[3]) == of(b[0], b[1], b[2], b[3])) != same {
+			if (fingerprintOf(a[0], a[1], a[2], a[3]) == fingerprintOf(b[0], b[1], b[2], b[3])) != same {
 				t.Fatalf("%q and %q", a, b)
 			}
 		})
-		So(of("", "", "", "").IsZero(), ShouldBeFalse)
+		So(fingerprintOf("", "", "", "").IsZero(), ShouldBeFalse)
 	})
 	Convey("A fingerprint is read back from its text, and nothing else is", t, func() {
-		f := of("POST", "/a", "ward", "body")
-		read, err := Parse(f.String())
+		f := fingerprintOf("POST", "/a", "ward", "body")
+		read, err := ParseFingerprint(f.String())
 		So(err, ShouldBeNil)
 		So(read, ShouldEqual, f)
 		for _, bad := range []string{"", "00", f.String() + "00", "zz" + f.String()[2:]} {
-			_, err := Parse(bad)
+			_, err := ParseFingerprint(bad)
 			So(err, ShouldNotBeNil)
 		}
 	})
@@ -42,7 +42,7 @@
 		body := make([]byte, size)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				Of([]byte("POST"), []byte("/brief/1"), []byte("ward"), body)
+				FingerprintOf([]byte("POST"), []byte("/brief/1"), []byte("ward"), body)
 			}
 		})
 	}
--- a/pkg/registry/departures.go
+++ b/pkg/registry/departures.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	entry, listed := r.entries.find(told.Endpoint)
-	if listed && !told.Concerns(&entry.Facts) {
+	if listed && !told.AppliesTo(&entry.Facts) {
 		return false
 	}
 	if r.departures == nil {
@@ -79,14 +79,14 @@
 // leaves tells whether an endpoint leaves, by its row or by an answer. The lock is held.
 func (r *Registry) isLeaving(endpoint *route.Endpoint) bool {
 	said, had := r.departures[endpoint.ID]
-	return endpoint.Leaving || (had && said.Concerns(&endpoint.Facts))
+	return endpoint.Leaving || (had && said.AppliesTo(&endpoint.Facts))
 }
 
 // forgetDepartures drops what no entry can concern any more. The lock is held.
 func (r *Registry) expireDepartures(now time.Time) {
 	for id, said := range r.departures {
 		entry, listed := r.entries.find(id)
-		if listed && !said.Concerns(&entry.Facts) {
+		if listed && !said.AppliesTo(&entry.Facts) {
 			delete(r.departures, id)
 		} else if (!listed || entry.Gone) && now.Sub(said.receivedAt) > departureTTL {
 			delete(r.departures, id)
--- a/pkg/registry/quarantine.go
+++ b/pkg/registry/quarantine.go
@@ -12,7 +12,7 @@
 // KeptRequest is a row of the store about a request under which endpoints ended. Problem is
 // set, and nothing else but the key, when it can not be read.
 type QuarantinedRequest struct {
-	quarantine.Kept
+	quarantine.StoredRequest
 	Key     string
 	Problem error
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-func (r *Registry) takeUnstored() []quarantine.Kept {
+func (r *Registry) takeUnstored() []quarantine.StoredRequest {
 	return r.Quarantine.TakeUnstored(maxQuarantineBatch, time.Now())
 }
 
@@ -105,21 +105,21 @@
 		return err
 	}
 	now := time.Now()
-	var old, kept []quarantine.Kept
+	var old, kept []quarantine.StoredRequest
 	for i := range rows {
 		row := &rows[i]
 		switch {
 		case row.Problem != nil:
 			r.Log.Error("row of a quarantined request not taken", zap.String("Key", row.Key), zap.Error(row.Problem))
 		case row.Outdated():
-			old = append(old, quarantine.Kept{Fingerprint: row.Fingerprint})
+			old = append(old, quarantine.StoredRequest{Fingerprint: row.Fingerprint})
 		default:
 			r.Quarantine.Merge(row.Ends, fromStore, now)
-			kept = append(kept, row.Kept)
+			kept = append(kept, row.StoredRequest)
 		}
 	}
 	r.Log.Info("quarantined requests read", zap.Int("Requests", len(rows)), zap.Int("Old", len(old)))
-	r.Quarantine.Restored(kept)
+	r.Quarantine.Reconcile(kept)
 	if len(old) > 0 {
 		r.Quarantine.PutBack(old)
 		r.PersistQuarantine()
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -138,8 +138,8 @@
 	return nil
 }
 
-func (f *fakeStore) ReadQuarantine(context.Context) ([]QuarantinedRequest, error) { return nil, nil }
-func (f *fakeStore) WriteQuarantine(context.Context, []quarantine.Kept) error     { return nil }
+func (f *fakeStore) ReadQuarantine(context.Context) ([]QuarantinedRequest, error)      { return nil, nil }
+func (f *fakeStore) WriteQuarantine(context.Context, []quarantine.StoredRequest) error { return nil }
 func (f *fakeStore) Boxes(context.Context, string, int) ([]ListedBox, error) {
 	return f.now().boxes, nil
 }
--- a/pkg/registry/store.go
+++ b/pkg/registry/store.go
@@ -106,7 +106,7 @@
 	// KeptRequests reads the requests under which endpoints ended.
 	ReadQuarantine(ctx context.Context) ([]QuarantinedRequest, error)
 	// KeepRequests writes some of them; those without ends are removed.
-	WriteQuarantine(ctx context.Context, rows []quarantine.Kept) error
+	WriteQuarantine(ctx context.Context, rows []quarantine.StoredRequest) error
 	// RolloutStatus reads the row about a service.
 	RolloutStatus(ctx context.Context, service string) (RolloutStatus, error)
 	// WriteRolloutStatus writes it if it is still of the version given, and reports whether
--- a/pkg/route/catalog.go
+++ b/pkg/route/catalog.go
@@ -98,7 +98,7 @@
 	if c.PerSecond <= 0 {
 		return lifecycle.Bound{}
 	}
-	return lifecycle.Bound{For: c.For, Most: c.PerSecond*factor + more}
+	return lifecycle.Bound{Duration: c.For, MaxPerSecond: c.PerSecond*factor + more}
 }
 
 // Engine is what is known of the model engines of a service.
