--- a/pkg/dispatch/account.go
+++ b/pkg/dispatch/account.go
@@ -44,74 +44,74 @@
 	name string
 	usage
 	// kinds are by route.
-	kinds map[string]*kind
+	queues map[string]*routeQueue
 	// waiting is the number of requests in the queues of all kinds.
 	waiting int
 	// elsewhere is what it asked for and got in other groups.
-	elsewhere elsewhere
+	otherGroups otherGroupTotals
 }
 
 // kind is a customer's requests of one route.
-type kind struct {
+type routeQueue struct {
 	route string
 	usage
 	// queue is in the order of arrival.
-	queue []*Ask
+	queue []*Request
 }
 
 // usage is what was asked for and got within the window, in tokens as Prompt.Cost
 // counts them.
 type usage struct {
-	asked   window
-	granted window
+	requested window
+	granted   window
 }
 
 func (u *usage) advance(now time.Time, length time.Duration) {
-	u.asked.advance(now, length)
+	u.requested.advance(now, length)
 	u.granted.advance(now, length)
 }
 
 // servedPart is the part that was got of what was asked for.
-func (u *usage) servedPart() float64 {
-	if u.asked.sum < 1 {
+func (u *usage) servedFraction() float64 {
+	if u.requested.sum < 1 {
 		return 0
 	}
-	return u.granted.sum / u.asked.sum
+	return u.granted.sum / u.requested.sum
 }
 
-func (a *account) kind(route string) *kind {
-	k := a.kinds[route]
+func (a *account) queue(route string) *routeQueue {
+	k := a.queues[route]
 	if k == nil {
-		if a.kinds == nil {
-			a.kinds = map[string]*kind{}
+		if a.queues == nil {
+			a.queues = map[string]*routeQueue{}
 		}
-		k = &kind{route: route}
-		a.kinds[route] = k
+		k = &routeQueue{route: route}
+		a.queues[route] = k
 	}
 	return k
 }
 
 // noteAsked books what a request asks for.
-func (a *account) noteAsked(ask *Ask, now time.Time, length time.Duration) {
-	a.asked.add(ask.cost, now, length)
-	a.kind(ask.Route).asked.add(ask.cost, now, length)
+func (a *account) addRequested(req *Request, now time.Time, length time.Duration) {
+	a.requested.add(req.cost, now, length)
+	a.queue(req.Route).requested.add(req.cost, now, length)
 }
 
 // noteGranted books a grant or, with a factor of -1, takes it back.
-func (a *account) noteGranted(ask *Ask, factor float64, now time.Time, length time.Duration) {
-	a.granted.add(factor*ask.cost, now, length)
-	a.kind(ask.Route).granted.add(factor*ask.cost, now, length)
+func (a *account) addGranted(req *Request, factor float64, now time.Time, length time.Duration) {
+	a.granted.add(factor*req.cost, now, length)
+	a.queue(req.Route).granted.add(factor*req.cost, now, length)
 }
 
-func (a *account) enqueue(ask *Ask) {
-	k := a.kind(ask.Route)
-	k.queue = append(k.queue, ask)
+func (a *account) enqueue(req *Request) {
+	k := a.queue(req.Route)
+	k.queue = append(k.queue, req)
 	a.waiting++
 }
 
-func (a *account) dequeue(ask *Ask) {
-	k := a.kind(ask.Route)
-	if at := slices.Index(k.queue, ask); at >= 0 {
+func (a *account) dequeue(req *Request) {
+	k := a.queue(req.Route)
+	if at := slices.Index(k.queue, req); at >= 0 {
 		k.queue = slices.Delete(k.queue, at, at+1)
 		a.waiting--
 	}
@@ -121,16 +121,16 @@
 // smallest part of what it asked for. Taken in the order of arrival, a customer far
 // beyond its share had one in five of its requests for long prompts granted and one
 // in twenty of those for short ones, as these wait a shorter time for an idle engine.
-func (a *account) kindsInTurn(now time.Time, length time.Duration) []*kind {
-	waiting := make([]*kind, 0, len(a.kinds))
-	for _, k := range a.kinds {
+func (a *account) waitingQueues(now time.Time, length time.Duration) []*routeQueue {
+	waiting := make([]*routeQueue, 0, len(a.queues))
+	for _, k := range a.queues {
 		if len(k.queue) > 0 {
 			k.advance(now, length)
 			waiting = append(waiting, k)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *kind) int {
-		return cmp.Or(cmp.Compare(a.servedPart(), b.servedPart()), cmp.Compare(a.route, b.route))
+	slices.SortFunc(waiting, func(a, b *routeQueue) int {
+		return cmp.Or(cmp.Compare(a.servedFraction(), b.servedFraction()), cmp.Compare(a.route, b.route))
 	})
 	return waiting
 }
@@ -138,7 +138,7 @@
 // evenShare is the largest amount for which no customer gets more than it asked
 // and the total is within capacity; a customer that asked for less leaves the
 // rest to the others. All may have what they asked when it returns the largest.
-func evenShare(asked []float64, capacity float64) float64 {
+func maxMinShare(asked []float64, capacity float64) float64 {
 	sort.Float64s(asked)
 	left := capacity
 	for i, amount := range asked {
--- a/pkg/dispatch/words_test.go
+++ b/pkg/dispatch/backoff_test.go
@@ -23,12 +23,12 @@
 func TestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
-		way := restWay(rapid.IntRange(int(checked), int(told)).Draw(t, "way"))
+		way := backoffReporting(rapid.IntRange(int(notReported), int(reportedOnce)).Draw(t, "way"))
 		s := newWordSimulation(engines, rapid.IntRange(1, 8).Draw(t, "boxes"), rapid.Uint64().Draw(t, "seed"), way)
 		s.draw(s.rand, engines, rapid.Float64Range(0, 1).Draw(t, "full"), rapid.Float64Range(0, 0.5).Draw(t, "leaving"))
 		s.callers(float64(engines)*rapid.Float64Range(0.2, 20).Draw(t, "load"), 12*time.Second)
 		for range rapid.IntRange(0, 3).Draw(t, "losses") {
-			s.at(s.now.Add(time.Duration(rapid.IntRange(1, 11000).Draw(t, "at"))*time.Millisecond), s.lose)
+			s.at(s.now.Add(time.Duration(rapid.IntRange(1, 11000).Draw(t, "at"))*time.Millisecond), s.takeOver)
 		}
 		for tick := s.now.Add(time.Millisecond); tick.Before(s.now.Add(13 * time.Second)); tick = tick.Add(52 * time.Millisecond) {
 			s.at(tick, func() {
@@ -36,19 +36,19 @@
 				if idle := s.idleWhileWaiting(); len(idle) > 0 {
 					t.Fatalf("%v are idle while what they take waits", idle)
 				}
-				for _, ask := range s.pool.asks {
-					if !s.pool.admits(ask, s.now) {
+				for _, req := range s.pool.waiting {
+					if !s.pool.hasEligibleEngine(req, s.now) {
 						t.Fatalf("a request waits that no engine takes")
 					}
 				}
 			})
 		}
 		s.until(s.now.Add(time.Hour))
-		if len(s.against) > 0 {
-			t.Fatalf("%d requests against an engine's word: %s", len(s.against), s.against[0])
+		if len(s.violations) > 0 {
+			t.Fatalf("%d requests against an engine's word: %s", len(s.violations), s.violations[0])
 		}
-		if s.toldEarly > 0 {
-			t.Fatalf("%d callers were told to come back before the first engine does", s.toldEarly)
+		if s.retriedEarly > 0 {
+			t.Fatalf("%d callers were told to come back before the first engine does", s.retriedEarly)
 		}
 		if len(s.waiting) > 0 {
 			t.Fatalf("%d requests were neither granted nor refused", len(s.waiting))
@@ -60,31 +60,31 @@
 // -v prints the figures.
 func TestRestWays(t *testing.T) {
 	for _, load := range []float64{3, 14} {
-		for way, name := range []string{checked: "checked by the box that sends", named: "named by each ask", told: "told once"} {
-			out := wordSimulation{}
+		for way, name := range []string{notReported: "checked by the box that sends", inEachRequest: "named by each ask", reportedOnce: "told once"} {
+			out := backoffSimulation{}
 			for seed := range fleetsOr(6) {
 				draw := rand.New(rand.NewPCG(uint64(seed), 2))
 				engines := 3 + draw.IntN(10)
-				s := newWordSimulation(engines, 8, uint64(seed), restWay(way))
+				s := newWordSimulation(engines, 8, uint64(seed), backoffReporting(way))
 				s.draw(draw, engines, 0.5, 0.1)
 				s.callers(float64(engines)*load, 12*time.Second)
 				for range 2 {
-					s.at(s.now.Add(time.Duration(1+draw.IntN(11000))*time.Millisecond), s.lose)
+					s.at(s.now.Add(time.Duration(1+draw.IntN(11000))*time.Millisecond), s.takeOver)
 				}
 				s.until(s.now.Add(time.Hour))
-				out.asked += s.asked
+				out.requested += s.requested
 				out.served += s.served
-				out.turnedAway += s.turnedAway
+				out.rejected += s.rejected
 				out.handedBack += s.handedBack
 				out.refused += s.refused
-				out.refusedInVain += s.refusedInVain
-				out.asksBytes += s.asksBytes
-				out.against = append(out.against, s.against...)
+				out.refusedDespiteRoom += s.refusedDespiteRoom
+				out.requestBytes += s.requestBytes
+				out.violations = append(out.violations, s.violations...)
 			}
 			t.Logf("%-30s %2.0f a second and engine: %d asked, %d served, %d turned away by engines, %d handed back, %d refused (%d with room elsewhere), %d bytes in asks, %d against a word",
-				name, load, out.asked, out.served, out.turnedAway, out.handedBack, out.refused, out.refusedInVain, out.asksBytes, len(out.against))
-			if len(out.against) > 0 {
-				t.Errorf("%s: %d requests against an engine's word", name, len(out.against))
+				name, load, out.requested, out.served, out.rejected, out.handedBack, out.refused, out.refusedDespiteRoom, out.requestBytes, len(out.violations))
+			if len(out.violations) > 0 {
+				t.Errorf("%s: %d requests against an engine's word", name, len(out.violations))
 			}
 		}
 	}
@@ -96,33 +96,33 @@
 func TestWhomRestsBind(t *testing.T) {
 	for _, oneBox := range []bool{false, true} {
 		for _, bindsAll := range []bool{false, true} {
-			out := wordSimulation{}
+			out := backoffSimulation{}
 			for seed := range fleetsOr(6) {
 				draw := rand.New(rand.NewPCG(uint64(seed), 2))
 				engines := 3 + draw.IntN(10)
-				s := newWordSimulation(engines, 8, uint64(seed), told)
+				s := newWordSimulation(engines, 8, uint64(seed), reportedOnce)
 				s.bindsAll = bindsAll
 				s.draw(draw, engines, 0.5, 0)
 				for i := range engines {
 					id := fmt.Sprintf("e%d", i)
-					full := s.full[id]
+					full := s.overloads[id]
 					if oneBox {
 						full.box = s.boxes[draw.IntN(len(s.boxes))]
-						s.full[id] = full
+						s.overloads[id] = full
 					}
 				}
 				s.callers(float64(engines)*20, 12*time.Second)
 				s.until(s.now.Add(time.Hour))
-				out.asked += s.asked
+				out.requested += s.requested
 				out.served += s.served
-				out.turnedAway += s.turnedAway
+				out.rejected += s.rejected
 				out.refused += s.refused
-				out.refusedInVain += s.refusedInVain
+				out.refusedDespiteRoom += s.refusedDespiteRoom
 			}
 			t.Logf("engines turn one box away: %t, a rest binds all: %t: %d asked, %d served, %d turned away by engines, %d refused (%d with room)",
-				oneBox, bindsAll, out.asked, out.served, out.turnedAway, out.refused, out.refusedInVain)
-			if oneBox && !bindsAll && out.refusedInVain > 0 {
-				t.Errorf("%d requests of boxes that no engine turned away were refused with room", out.refusedInVain)
+				oneBox, bindsAll, out.requested, out.served, out.rejected, out.refused, out.refusedDespiteRoom)
+			if oneBox && !bindsAll && out.refusedDespiteRoom > 0 {
+				t.Errorf("%d requests of boxes that no engine turned away were refused with room", out.refusedDespiteRoom)
 			}
 		}
 	}
@@ -134,38 +134,38 @@
 func TestReturnAfterRest(t *testing.T) {
 	for _, retries := range []int{1, 3} {
 		for _, soonElsewhere := range []bool{false, true} {
-			out := wordSimulation{}
+			out := backoffSimulation{}
 			for seed := range fleetsOr(6) {
 				draw := rand.New(rand.NewPCG(uint64(seed), 2))
 				engines := 2 + draw.IntN(4)
-				s := newWordSimulation(engines, 8, uint64(seed), told)
-				s.retries, s.soonElsewhere = retries, soonElsewhere
+				s := newWordSimulation(engines, 8, uint64(seed), reportedOnce)
+				s.retries, s.retryElsewhere = retries, soonElsewhere
 				s.draw(draw, engines, 1, 0)
 				s.callers(float64(engines)*14, 12*time.Second)
 				s.until(s.now.Add(time.Hour))
-				out.asked += s.asked
+				out.requested += s.requested
 				out.served += s.served
-				out.turnedAway += s.turnedAway
+				out.rejected += s.rejected
 				out.givenUp += s.givenUp
 				out.cameBack += s.cameBack
 				out.waited += s.waited
 			}
 			t.Logf("%d retries, at once where another box may be served: %t: %d asked, %d served, %d given up, %d turned away by engines; who came back was sent to an engine after %s",
-				retries, soonElsewhere, out.asked, out.served, out.givenUp, out.turnedAway, out.waited/time.Duration(max(1, out.cameBack)))
+				retries, soonElsewhere, out.requested, out.served, out.givenUp, out.rejected, out.waited/time.Duration(max(1, out.cameBack)))
 		}
 	}
 }
 
 func TestAllowed(t *testing.T) {
 	until := start.Add(3 * time.Second)
-	of := func(router uint64, number int, now time.Time) *Ask {
-		ask := askOf(fmt.Sprint(number), "a", now, Part{ID: uint64(number), Tokens: 1000})
-		ask.Router = router
-		return ask
+	of := func(router uint64, number int, now time.Time) *Request {
+		req := newRequest(fmt.Sprint(number), "a", now, Part{ID: uint64(number), Tokens: 1000})
+		req.Stream = router
+		return req
 	}
 	Convey("An engine's rest binds the router that it asked, and no other", t, func() {
 		p := newTestPool(2, 0)
-		So(p.Rest(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start), ShouldBeTrue)
+		So(p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start), ShouldBeTrue)
 		for i := range 4 {
 			So(submit(p, of(1, i, start), start)[0].(Grant).Endpoint, ShouldEqual, "e1")
 		}
@@ -178,7 +178,7 @@
 	Convey("An engine that begins an older request rests on", t, func() {
 		p := newTestPool(2, 0)
 		first := submit(p, of(1, 1, start), start)[0].(Grant)
-		p.Rest(1, lifecycle.Rest{Endpoint: first.Endpoint, Until: until}, start)
+		p.SetBackoff(1, lifecycle.Rest{Endpoint: first.Endpoint, Until: until}, start)
 		p.Begin("1", start.Add(time.Second))
 		for i := range 4 {
 			So(submit(p, of(1, 10+i, start.Add(time.Second)), start.Add(time.Second))[0].(Grant).Endpoint, ShouldNotEqual, first.Endpoint)
@@ -186,12 +186,12 @@
 	})
 	Convey("Where all rest, a request is refused at once, until the first of them returns", t, func() {
 		p := newTestPool(2, 0)
-		p.Rest(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start)
-		p.Rest(1, lifecycle.Rest{Endpoint: "e1", Until: until.Add(time.Second)}, start)
+		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start)
+		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e1", Until: until.Add(time.Second)}, start)
 		times := map[time.Duration]bool{}
 		for i := range 20 {
-			turn := submit(p, of(1, i, start), start)[0].(Turn)
-			So(turn.Resting, ShouldBeTrue)
+			turn := submit(p, of(1, i, start), start)[0].(Refusal)
+			So(turn.NoEligibleEngine, ShouldBeTrue)
 			So(turn.RetryAfter, ShouldBeBetweenOrEqual, 3*time.Second, 3750*time.Millisecond)
 			times[turn.RetryAfter] = true
 		}
@@ -200,25 +200,25 @@
 	})
 	Convey("One that returns while a request may wait is waited for", t, func() {
 		p := newTestPool(1, 0)
-		p.Rest(1, lifecycle.Rest{Endpoint: "e0", Until: start.Add(100 * time.Millisecond)}, start)
+		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: start.Add(100 * time.Millisecond)}, start)
 		So(submit(p, of(1, 1, start), start), ShouldBeEmpty)
 		So(p.Decide(start.Add(100 * time.Millisecond))[0], ShouldHaveSameTypeAs, Grant{})
 	})
 	Convey("A later start ends a rest, and so does the end of its router's stream", t, func() {
 		p := newTestPool(1, 0)
 		p.SetEndpoints([]route.Endpoint{{ID: "e0", Service: "llm", Slots: 64, Facts: lifecycle.Facts{Born: 5}}}, start)
-		p.Rest(1, lifecycle.Rest{Endpoint: "e0", Born: 5, Until: until}, start)
-		So(p.admits(of(1, 1, start), start), ShouldBeFalse)
+		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Born: 5, Until: until}, start)
+		So(p.hasEligibleEngine(of(1, 1, start), start), ShouldBeFalse)
 		p.SetEndpoints([]route.Endpoint{{ID: "e0", Service: "llm", Slots: 64, Facts: lifecycle.Facts{Born: 6}}}, start)
-		So(p.admits(of(1, 1, start), start), ShouldBeTrue)
-		p.Rest(1, lifecycle.Rest{Endpoint: "e0", Born: 6, Until: until}, start)
-		p.Forget(1, start)
-		So(p.admits(of(1, 1, start), start), ShouldBeTrue)
-		So(p.rests, ShouldBeEmpty)
+		So(p.hasEligibleEngine(of(1, 1, start), start), ShouldBeTrue)
+		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Born: 6, Until: until}, start)
+		p.DropStream(1, start)
+		So(p.hasEligibleEngine(of(1, 1, start), start), ShouldBeTrue)
+		So(p.backoffs, ShouldBeEmpty)
 	})
 	Convey("Rests of engines that the pool does not have are not kept", t, func() {
 		p := newTestPool(1, 0)
-		So(p.Rest(1, lifecycle.Rest{Endpoint: "e9", Until: until}, start), ShouldBeFalse)
-		So(p.rests, ShouldBeEmpty)
+		So(p.SetBackoff(1, lifecycle.Rest{Endpoint: "e9", Until: until}, start), ShouldBeFalse)
+		So(p.backoffs, ShouldBeEmpty)
 	})
 }
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -24,25 +24,25 @@
 	p := newTestPool(90, 4e6)
 	p.Contested = contested
 	now := start
-	for i, e := range p.inOrder {
+	for i, e := range p.sorted {
 		if i == 0 && room {
 			// It is idle, and its slots are taken.
 			e.running = e.Slots
 			continue
 		}
 		for n := range 4 {
-			p.book(askOf(fmt.Sprint("fill", i, n), "other", now, Part{ID: uint64(10000 + i*4 + n), Tokens: 20000}), e, now)
+			p.book(newRequest(fmt.Sprint("fill", i, n), "other", now, Part{ID: uint64(10000 + i*4 + n), Tokens: 20000}), e, now)
 		}
 	}
 	for i := range 400 {
 		part := Part{ID: uint64(i % 100), Tokens: 13000 * (i % 2)}
-		ask := askOf(fmt.Sprint(i), fmt.Sprint("c", i%10), now, part, Part{ID: uint64(50000 + i), Tokens: 3000})
-		ask.Aim = 600 * time.Millisecond
-		ask.Expires = now.Add(time.Hour)
-		ask.Fingerprint = fingerprintOf(ask.Customer, ask.ID)
-		p.Submit(ask, now)
+		req := newRequest(fmt.Sprint(i), fmt.Sprint("c", i%10), now, part, Part{ID: uint64(50000 + i), Tokens: 3000})
+		req.LatencyTarget = 600 * time.Millisecond
+		req.Deadline = now.Add(time.Hour)
+		req.Fingerprint = fingerprintOf(req.Customer, req.ID)
+		p.Submit(req, now)
 		// Refused on arrival, it would leave the line with the first look.
-		ask.hopeless = false
+		req.refuseNow = false
 	}
 	// Some engines have ended, under other requests.
 	for i := range 300 {
--- a/pkg/dispatch/deadly_test.go
+++ b/pkg/dispatch/deadly_test.go
@@ -32,8 +32,8 @@
 	// dead are the boxes that were lost.
 	dead map[int]bool
 	// running are the requests at each engine, in order of their grants.
-	running map[string][]*deadlyAsk
-	waiting map[string]*deadlyAsk
+	running map[string][]*deadlyRequest
+	waiting map[string]*deadlyRequest
 	// down are the engines that ended and are listed still; starts numbers those that
 	// started again.
 	down   map[string]bool
@@ -47,8 +47,8 @@
 }
 
 // deadlyAsk is a request with the box that it came to.
-type deadlyAsk struct {
-	*Ask
+type deadlyRequest struct {
+	*Request
 	box int
 	// kills has its engine end.
 	kills bool
@@ -60,8 +60,8 @@
 const (
 	// deadlyAfter is from a deadly request's beginning to the end of its engine, and
 	// backAfter from there to the engine's return.
-	deadlyAfter = 20 * time.Millisecond
-	backAfter   = 3 * time.Second
+	crashDelay   = 20 * time.Millisecond
+	restartDelay = 3 * time.Second
 )
 
 func newDeadlySimulation(engines, boxes int, seed uint64) *deadlySimulation {
@@ -71,8 +71,8 @@
 		bounded:    true,
 		dead:       map[int]bool{},
 		down:       map[string]bool{},
-		running:    map[string][]*deadlyAsk{},
-		waiting:    map[string]*deadlyAsk{},
+		running:    map[string][]*deadlyRequest{},
+		waiting:    map[string]*deadlyRequest{},
 		ends:       map[quarantine.Fingerprint]int{},
 		sends:      map[quarantine.Fingerprint]int{},
 	}
@@ -89,17 +89,17 @@
 }
 
 // innocents come all the time, at a rate a second; a part of them may be repeated. It returns their number.
-func (s *deadlySimulation) innocents(perSecond float64, length time.Duration, repeatable float64) (number int) {
-	from := &source{customer: "others", route: "chat", perSecond: perSecond, aim: 600 * time.Millisecond, shared: 350, own: 1110, things: 160, output: 170}
+func (s *deadlySimulation) sendInnocents(perSecond float64, length time.Duration, repeatable float64) (number int) {
+	from := &source{customer: "others", route: "chat", perSecond: perSecond, latencyTarget: 600 * time.Millisecond, shared: 350, own: 1110, sharedParts: 160, output: 170}
 	end := s.now.Add(length)
 	for at := s.next(s.now, from); at.Before(end); at = s.next(at, from) {
 		number++
-		ask := &deadlyAsk{Ask: s.askOf(from, number, at), box: s.rand.IntN(len(s.ledgers))}
-		ask.Fingerprint = fingerprintOf("others", ask.ID)
+		req := &deadlyRequest{Request: s.newRequest(from, number, at), box: s.rand.IntN(len(s.ledgers))}
+		req.Fingerprint = fingerprintOf("others", req.ID)
 		if s.rand.Float64() < repeatable {
-			ask.repeats = 3
+			req.repeats = 3
 		}
-		s.at(at, func() { s.come(ask) })
+		s.at(at, func() { s.receive(req) })
 	}
 	for tick := s.now; tick.Before(end.Add(10 * time.Second)); tick = tick.Add(4 * time.Millisecond) {
 		s.at(tick, s.decide)
@@ -108,92 +108,92 @@
 }
 
 // deadly has one request come at some times, to any box.
-func (s *deadlySimulation) deadly(body string, times ...time.Duration) {
-	from := &source{customer: "one", route: "chat", aim: 600 * time.Millisecond, shared: 350, own: 900, things: 3, output: 50}
+func (s *deadlySimulation) sendDeadly(body string, times ...time.Duration) {
+	from := &source{customer: "one", route: "chat", latencyTarget: 600 * time.Millisecond, shared: 350, own: 900, sharedParts: 3, output: 50}
 	for i, after := range times {
-		ask := &deadlyAsk{Ask: s.askOf(from, 0, s.now.Add(after)), kills: true, box: s.rand.IntN(len(s.ledgers))}
-		ask.ID = fmt.Sprintf("%s-%d", body, i)
-		ask.Fingerprint = fingerprintOf("one", body)
-		s.at(ask.Arrived, func() { s.come(ask) })
+		req := &deadlyRequest{Request: s.newRequest(from, 0, s.now.Add(after)), kills: true, box: s.rand.IntN(len(s.ledgers))}
+		req.ID = fmt.Sprintf("%s-%d", body, i)
+		req.Fingerprint = fingerprintOf("one", body)
+		s.at(req.Arrived, func() { s.receive(req) })
 	}
 }
 
-func (s *deadlySimulation) come(ask *deadlyAsk) {
-	for s.dead[ask.box] {
-		ask.box = s.rand.IntN(len(s.ledgers))
+func (s *deadlySimulation) receive(req *deadlyRequest) {
+	for s.dead[req.box] {
+		req.box = s.rand.IntN(len(s.ledgers))
 	}
-	if s.ledgers[ask.box].Check(ask.Fingerprint, s.now).Quarantined() {
-		if !ask.kills {
+	if s.ledgers[req.box].Check(req.Fingerprint, s.now).Quarantined() {
+		if !req.kills {
 			s.refusedInnocent++
 		}
 		return
 	}
-	s.waiting[ask.ID] = ask
+	s.waiting[req.ID] = req
 	if !s.bounded {
-		unknown := *ask.Ask
+		unknown := *req.Request
 		unknown.Fingerprint = quarantine.Fingerprint{}
 		s.pool.Submit(&unknown, s.now)
 		return
 	}
-	s.pool.Submit(ask.Ask, s.now)
+	s.pool.Submit(req.Request, s.now)
 }
 
 func (s *deadlySimulation) decide() {
 	for _, d := range s.pool.Decide(s.now) {
 		switch d := d.(type) {
 		case Grant:
-			ask := s.waiting[d.Ask.ID]
-			delete(s.waiting, ask.ID)
-			s.run(ask, d)
-		case Turn:
-			delete(s.waiting, d.Ask.ID)
+			req := s.waiting[d.Request.ID]
+			delete(s.waiting, req.ID)
+			s.run(req, d)
+		case Refusal:
+			delete(s.waiting, d.Request.ID)
 		}
 	}
 }
 
-func (s *deadlySimulation) run(ask *deadlyAsk, g Grant) {
+func (s *deadlySimulation) run(req *deadlyRequest, g Grant) {
 	if s.down[g.Endpoint] {
-		s.pool.End(ask.ID, Unreachable{}, s.now)
+		s.pool.End(req.ID, Unreachable{}, s.now)
 		return
 	}
-	if ask.kills {
-		s.sends[ask.Fingerprint]++
+	if req.kills {
+		s.sends[req.Fingerprint]++
 	}
-	s.running[g.Endpoint] = append(s.running[g.Endpoint], ask)
-	if s.kept[g.Endpoint] == nil {
-		s.kept[g.Endpoint] = map[uint64]bool{}
+	s.running[g.Endpoint] = append(s.running[g.Endpoint], req)
+	if s.cached[g.Endpoint] == nil {
+		s.cached[g.Endpoint] = map[uint64]bool{}
 	}
 	begins := s.read(g)
 	s.at(begins, func() {
-		if ask.ended {
+		if req.ended {
 			return
 		}
-		s.pool.Begin(ask.ID, s.now)
-		if ask.kills {
-			s.at(s.now.Add(deadlyAfter), func() { s.crash(g.Endpoint, ask) })
+		s.pool.Begin(req.ID, s.now)
+		if req.kills {
+			s.at(s.now.Add(crashDelay), func() { s.crash(g.Endpoint, req) })
 		}
 	})
-	if ask.kills {
+	if req.kills {
 		return
 	}
-	s.at(begins.Add(time.Duration(ask.Output())*s.step), func() {
-		if ask.ended {
+	s.at(begins.Add(time.Duration(req.ExpectedOutput())*s.tokenInterval), func() {
+		if req.ended {
 			return
 		}
-		s.running[g.Endpoint] = slices.DeleteFunc(s.running[g.Endpoint], func(other *deadlyAsk) bool { return other == ask })
-		s.pool.End(ask.ID, Done{}, s.now)
-		s.clear(ask)
+		s.running[g.Endpoint] = slices.DeleteFunc(s.running[g.Endpoint], func(other *deadlyRequest) bool { return other == req })
+		s.pool.End(req.ID, Done{}, s.now)
+		s.clearSuspicion(req)
 	})
 }
 
 // clear tells the boxes that a request ended well.
-func (s *deadlySimulation) clear(ask *deadlyAsk) {
-	s.ledgers[ask.box].Clear(ask.Fingerprint, "llm", s.now)
-	s.tell()
+func (s *deadlySimulation) clearSuspicion(req *deadlyRequest) {
+	s.ledgers[req.box].Clear(req.Fingerprint, "llm", s.now)
+	s.exchangeEnds()
 }
 
 // crash ends an engine under a request, unless that ended with another one before.
-func (s *deadlySimulation) crash(engine string, by *deadlyAsk) {
+func (s *deadlySimulation) crash(engine string, by *deadlyRequest) {
 	if by.ended {
 		return
 	}
@@ -202,30 +202,30 @@
 	s.down[engine] = true
 	went := s.running[engine]
 	delete(s.running, engine)
-	for _, ask := range went {
-		ask.ended = true
-		if !ask.kills {
+	for _, req := range went {
+		req.ended = true
+		if !req.kills {
 			s.lost++
 		}
-		end := s.ledgers[ask.box].RecordEnd(ask.Fingerprint, life, s.now)
-		s.pool.End(ask.ID, Ended{End: end}, s.now)
-		s.again(ask)
+		end := s.ledgers[req.box].RecordEnd(req.Fingerprint, life, s.now)
+		s.pool.End(req.ID, Ended{End: end}, s.now)
+		s.retry(req)
 	}
-	s.tell()
+	s.exchangeEnds()
 	s.starts++
 	back := fmt.Sprintf("%s/%d", engine, s.starts)
-	s.at(s.now.Add(backAfter), func() { s.replace(engine, back) })
+	s.at(s.now.Add(restartDelay), func() { s.replace(engine, back) })
 }
 
 // again has an innocent request that broke come back, where it may.
-func (s *deadlySimulation) again(ask *deadlyAsk) {
-	if ask.repeats == 0 {
+func (s *deadlySimulation) retry(req *deadlyRequest) {
+	if req.repeats == 0 {
 		return
 	}
-	again := *ask.Ask
-	again.ID, again.Arrived = ask.ID+"r", s.now.Add(5*time.Millisecond)
-	next := &deadlyAsk{Ask: &again, box: ask.box, repeats: ask.repeats - 1}
-	s.at(again.Arrived, func() { s.come(next) })
+	again := *req.Request
+	again.ID, again.Arrived = req.ID+"r", s.now.Add(5*time.Millisecond)
+	next := &deadlyRequest{Request: &again, box: req.box, repeats: req.repeats - 1}
+	s.at(again.Arrived, func() { s.receive(next) })
 }
 
 // replace has an engine back under another ID.
@@ -240,7 +240,7 @@
 }
 
 // tell has the boxes that live tell each other what they know, where they do.
-func (s *deadlySimulation) tell() {
+func (s *deadlySimulation) exchangeEnds() {
 	if !s.shared {
 		return
 	}
@@ -259,7 +259,7 @@
 
 // lose has the box that dispatches die, and some others with it; the first that is left
 // takes over, and is told what runs and, where boxes do not share, what each router saw.
-func (s *deadlySimulation) lose(count int) {
+func (s *deadlySimulation) failBoxes(count int) {
 	for box := range s.ledgers {
 		if !s.dead[box] && count > 0 && len(s.dead) < len(s.ledgers)-1 {
 			s.dead[box] = true
@@ -281,16 +281,16 @@
 		}
 	}
 	for engine, asks := range s.running {
-		for _, ask := range asks {
-			s.pool.Adopt(ask.Ask, engine, false, s.now)
+		for _, req := range asks {
+			s.pool.Adopt(req.Request, engine, false, s.now)
 		}
 	}
-	for _, ask := range s.waiting {
-		s.pool.Submit(ask.Ask, s.now)
+	for _, req := range s.waiting {
+		s.pool.Submit(req.Request, s.now)
 	}
 }
 
-func (s *deadlySimulation) mostEnds() (most int) {
+func (s *deadlySimulation) maxEnds() (most int) {
 	for _, count := range s.ends {
 		most = max(most, count)
 	}
@@ -316,24 +316,24 @@
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
 		s := newDeadlySimulation(engines, rapid.IntRange(2, 8).Draw(t, "boxes"), rapid.Uint64().Draw(t, "seed"))
 		length := 20 * time.Second
-		s.innocents(float64(engines)*rapid.Float64Range(0.2, 8).Draw(t, "load"), length, 0.3)
+		s.sendInnocents(float64(engines)*rapid.Float64Range(0.2, 8).Draw(t, "load"), length, 0.3)
 		for i := range rapid.IntRange(1, 3).Draw(t, "deadly") {
 			gap := time.Duration(rapid.IntRange(1, 3000).Draw(t, "gap")) * time.Millisecond
-			s.deadly(fmt.Sprint("body", i), times(s.rand, 25, gap)...)
+			s.sendDeadly(fmt.Sprint("body", i), times(s.rand, 25, gap)...)
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "losses") {
 			count := rapid.IntRange(1, 3).Draw(t, "lost")
-			s.at(s.now.Add(time.Duration(rapid.IntRange(1, 15000).Draw(t, "at"))*time.Millisecond), func() { s.lose(count) })
+			s.at(s.now.Add(time.Duration(rapid.IntRange(1, 15000).Draw(t, "at"))*time.Millisecond), func() { s.failBoxes(count) })
 		}
 		s.until(s.now.Add(time.Hour))
-		if most := s.mostEnds(); most > quarantine.MaxEnds {
+		if most := s.maxEnds(); most > quarantine.MaxEnds {
 			t.Fatalf("a request ended %d engines", most)
 		}
 	})
 }
 
 // deadlyWay is a way to keep requests from ending engines, beside the one that stands.
-type deadlyWay struct {
+type protection struct {
 	name string
 	// shared has all boxes know what each saw, bounded has the pool bound the engines that
 	// may end.
@@ -347,23 +347,23 @@
 
 // playDeadly draws a fleet by a seed: repeats that come by themselves or together, and two
 // losses of boxes, the one that dispatches among them.
-func playDeadly(way deadlyWay, seed uint64, out *deadlyOutcome) {
+func playDeadly(way protection, seed uint64, out *deadlyOutcome) {
 	draw := rand.New(rand.NewPCG(seed, 2))
 	engines := 3 + draw.IntN(10)
 	s := newDeadlySimulation(engines, 8, seed)
 	s.shared = way.shared
-	out.innocents += s.innocents(float64(engines)*10, 20*time.Second, 0.2)
+	out.innocents += s.sendInnocents(float64(engines)*10, 20*time.Second, 0.2)
 	kinds := 1 + draw.IntN(2)
 	for i := range kinds {
-		s.deadly(fmt.Sprint("body", i), times(draw, 25, time.Duration(100+draw.IntN(1500))*time.Millisecond)...)
+		s.sendDeadly(fmt.Sprint("body", i), times(draw, 25, time.Duration(100+draw.IntN(1500))*time.Millisecond)...)
 	}
 	s.bounded = way.bounded
 	for range 2 {
-		s.at(s.now.Add(time.Duration(1+draw.IntN(15000))*time.Millisecond), func() { s.lose(3) })
+		s.at(s.now.Add(time.Duration(1+draw.IntN(15000))*time.Millisecond), func() { s.failBoxes(3) })
 	}
 	s.until(s.now.Add(time.Hour))
 	out.requests += kinds
-	out.most = max(out.most, s.mostEnds())
+	out.most = max(out.most, s.maxEnds())
 	for _, count := range s.ends {
 		out.ends += count
 	}
@@ -383,7 +383,7 @@
 // QUAYLEAD_FLEETS=60; -v prints the figures.
 func TestDeadlyWays(t *testing.T) {
 	fleets := fleetsOr(6)
-	for _, way := range []deadlyWay{
+	for _, way := range []protection{
 		{"counted by the box that dispatches, not bounded", false, false},
 		{"counted by the box that dispatches, bounded", false, true},
 		{"counted by all boxes, not bounded", true, false},
@@ -411,7 +411,7 @@
 		draw := rand.New(rand.NewPCG(seed, 3))
 		engines := 4 + draw.IntN(9)
 		s := newDeadlySimulation(engines, 8, seed)
-		innocents += s.innocents(float64(engines)*10, 20*time.Second, 0.2)
+		innocents += s.sendInnocents(float64(engines)*10, 20*time.Second, 0.2)
 		for wave := range 4 {
 			s.at(s.now.Add(time.Duration(2+4*wave)*time.Second), func() { s.crashHalf() })
 		}
@@ -429,7 +429,7 @@
 func (s *deadlySimulation) crashHalf() {
 	for i, endpoint := range s.pool.Endpoints() {
 		if i%2 == 0 && !s.down[endpoint.ID] {
-			s.crash(endpoint.ID, &deadlyAsk{Ask: &Ask{}})
+			s.crash(endpoint.ID, &deadlyRequest{Request: &Request{}})
 		}
 	}
 }
--- a/pkg/dispatch/allowed.go
+++ b/pkg/dispatch/eligible.go
@@ -9,23 +9,23 @@
 
 // Rest notes that an engine wants nothing from a router for a while. It is no verdict on the
 // engine: others may go there. It reports whether that is news.
-func (p *Pool) Rest(router uint64, rest lifecycle.Rest, now time.Time) bool {
+func (p *Pool) SetBackoff(router uint64, rest lifecycle.Rest, now time.Time) bool {
 	if p.engines[rest.Endpoint] == nil {
 		return false
 	}
-	if p.rests[router] == nil {
-		p.rests[router] = &lifecycle.Rests{}
+	if p.backoffs[router] == nil {
+		p.backoffs[router] = &lifecycle.Rests{}
 	}
-	return p.rests[router].Add(rest, now)
+	return p.backoffs[router].Add(rest, now)
 }
 
 // Knows tells whether an engine is one of the pool's.
-func (p *Pool) Knows(engine string) bool { return p.engines[engine] != nil }
+func (p *Pool) HasEngine(engine string) bool { return p.engines[engine] != nil }
 
 // restsUntil is when an engine's rest from the router of a request is over; zero or past
 // where there is none.
-func (p *Pool) restsUntil(e *engine, ask *Ask) time.Time {
-	rests := p.rests[ask.Router]
+func (p *Pool) backoffUntil(e *engine, req *Request) time.Time {
+	rests := p.backoffs[req.Stream]
 	if rests == nil {
 		return time.Time{}
 	}
@@ -33,13 +33,13 @@
 }
 
 // allows tells whether a request may go to an engine now, however well that is.
-func (p *Pool) allows(e *engine, ask *Ask, now time.Time) bool {
-	return ask.mayUse(e) && !now.Before(p.restsUntil(e, ask))
+func (p *Pool) allows(e *engine, req *Request, now time.Time) bool {
+	return req.canUse(e) && !now.Before(p.backoffUntil(e, req))
 }
 
 // mayUse tells whether a request may go to an engine at all: its availability zone and its
 // version are among the request's, and the engine has not failed it before.
-func (a *Ask) mayUse(e *engine) bool {
+func (a *Request) canUse(e *engine) bool {
 	return a.Releases.Admits(e.Release) && (len(a.Zones) == 0 || slices.Contains(a.Zones, e.Zone)) && !slices.Contains(a.Excluded, e.ID)
 }
 
@@ -47,27 +47,27 @@
 // it may go to are evacuated, or all engines leave, or rest for longer. What no engine takes
 // is refused at once. It is asked of each request in line at each look: 46 microseconds for
 // 400 of them in place of 43 (BenchmarkDecide).
-func (p *Pool) admits(ask *Ask, now time.Time) bool {
-	return slices.ContainsFunc(p.inOrder, func(e *engine) bool {
-		return e.life.Admits() && ask.mayUse(e) && p.returnsInTime(e, ask, now)
+func (p *Pool) hasEligibleEngine(req *Request, now time.Time) bool {
+	return slices.ContainsFunc(p.sorted, func(e *engine) bool {
+		return e.life.Admits() && req.canUse(e) && p.backoffEndsInTime(e, req, now)
 	})
 }
 
 // returnsInTime tells whether an engine's rest from the router of a request, if any, is over
 // while the request may wait.
-func (p *Pool) returnsInTime(e *engine, ask *Ask, now time.Time) bool {
-	until := p.restsUntil(e, ask)
-	return until.IsZero() || !until.After(later(now, ask.Arrived.Add(time.Duration(p.hold(ask)))))
+func (p *Pool) backoffEndsInTime(e *engine, req *Request, now time.Time) bool {
+	until := p.backoffUntil(e, req)
+	return until.IsZero() || !until.After(later(now, req.Arrived.Add(time.Duration(p.maxWait(req)))))
 }
 
 // firstReturn is when the first engine that takes a request after its rest returns; zero
 // where one takes it now, or none does.
-func (p *Pool) firstReturn(ask *Ask, now time.Time) (first time.Time) {
-	for _, e := range p.inOrder {
-		if !e.life.Admits() || !ask.mayUse(e) {
+func (p *Pool) earliestBackoffEnd(req *Request, now time.Time) (first time.Time) {
+	for _, e := range p.sorted {
+		if !e.life.Admits() || !req.canUse(e) {
 			continue
 		}
-		until := p.restsUntil(e, ask)
+		until := p.backoffUntil(e, req)
 		if !now.Before(until) {
 			return time.Time{}
 		}
--- a/pkg/dispatch/endpoints.go
+++ b/pkg/dispatch/endpoints.go
@@ -23,39 +23,39 @@
 			e = newEngine(endpoint, p.service.Engine.CacheTokens)
 			changed = true
 			if !first {
-				e.life.AssumeCold(lifecycle.Started, now.Add(p.bound.Duration))
+				e.life.AssumeCold(lifecycle.Started, now.Add(p.coldBound.Duration))
 			}
 		case endpoint.Outdated(&e.Facts):
 			engines[endpoint.ID] = e
 			continue
 		}
-		p.teach(e, endpoint, now)
+		p.updateEngine(e, endpoint, now)
 		engines[endpoint.ID] = e
 	}
 	if !changed {
 		return
 	}
 	p.engines = engines
-	p.order()
+	p.sortEngines()
 }
 
 // teach has an engine take a newer account of it.
-func (p *Pool) teach(e *engine, endpoint route.Endpoint, now time.Time) {
+func (p *Pool) updateEngine(e *engine, endpoint route.Endpoint, now time.Time) {
 	e.Endpoint = endpoint
-	e.bound = p.bound
-	e.life.Update(endpoint.Facts, p.bound, now)
+	e.coldBound = p.coldBound
+	e.life.Update(endpoint.Facts, p.coldBound, now)
 	if e.Slots == 0 {
 		e.Slots = p.service.Engine.Slots
 	}
 }
 
 // order brings what depends on the set of engines up to date.
-func (p *Pool) order() {
-	p.inOrder = p.inOrder[:0]
+func (p *Pool) sortEngines() {
+	p.sorted = p.sorted[:0]
 	for _, e := range p.engines {
-		p.inOrder = append(p.inOrder, e)
+		p.sorted = append(p.sorted, e)
 	}
-	slices.SortFunc(p.inOrder, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(p.sorted, func(a, b *engine) int { return cmp.Compare(a.ID, b.ID) })
 	for _, part := range p.parts {
 		part.ranked = nil
 	}
@@ -64,7 +64,7 @@
 // engineOf is the engine that a word about one of its starts is about; nil where there is
 // none, or where that start is over. A later start than the known one begins here. Born is
 // 0 where the word does not say.
-func (p *Pool) engineOf(id string, born int64, now time.Time) *engine {
+func (p *Pool) engineAtStart(id string, born int64, now time.Time) *engine {
 	e := p.engines[id]
 	if e == nil {
 		return nil
@@ -77,10 +77,10 @@
 		endpoint := e.Endpoint
 		endpoint.Born = born
 		e = newEngine(endpoint, p.service.Engine.CacheTokens)
-		e.life.AssumeCold(lifecycle.Started, now.Add(p.bound.Duration))
-		p.teach(e, endpoint, now)
+		e.life.AssumeCold(lifecycle.Started, now.Add(p.coldBound.Duration))
+		p.updateEngine(e, endpoint, now)
 		p.engines[id] = e
-		p.order()
+		p.sortEngines()
 	}
 	return e
 }
--- a/pkg/dispatch/engine_test.go
+++ b/pkg/dispatch/engine_test.go
@@ -14,22 +14,22 @@
 // argument.
 var start = time.Unix(1000, 0)
 
-func askOf(id, customer string, now time.Time, parts ...Part) *Ask {
-	return &Ask{
-		ID:       id,
-		Customer: customer,
-		Prompt:   Prompt{Parts: parts, MaxOutput: 100},
-		Arrived:  now,
-		Aim:      800 * time.Millisecond,
-		Expires:  now.Add(10 * time.Second),
+func newRequest(id, customer string, now time.Time, parts ...Part) *Request {
+	return &Request{
+		ID:            id,
+		Customer:      customer,
+		Prompt:        Prompt{Parts: parts, MaxOutput: 100},
+		Arrived:       now,
+		LatencyTarget: 800 * time.Millisecond,
+		Deadline:      now.Add(10 * time.Second),
 	}
 }
 
 func grantAt(e *engine, id string, now time.Time, parts ...Part) *grant {
-	ask := askOf(id, "a", now, parts...)
-	tokens, _ := e.missing(&ask.Prompt)
-	g := &grant{ask: ask, engine: e, tokens: tokens, at: now}
-	e.take(g, now)
+	req := newRequest(id, "a", now, parts...)
+	tokens, _ := e.missingTokens(&req.Prompt)
+	g := &grant{req: req, engine: e, tokens: tokens, at: now}
+	e.addGrant(g, now)
 	return g
 }
 
@@ -43,73 +43,73 @@
 		for i := range 10 {
 			now := start.Add(time.Duration(i) * time.Second)
 			e.finish(grantAt(e, "lost", now, Part{ID: 1, Tokens: 100}), Broken{}, now)
-			So(e.usable(now.Add(time.Millisecond)), ShouldBeTrue)
+			So(e.isUsable(now.Add(time.Millisecond)), ShouldBeTrue)
 			e.begin(grantAt(e, "well", now, Part{ID: 1, Tokens: 100}), now.Add(100*time.Millisecond))
 		}
 	})
 	Convey("Several broken answers in a row rest it, as a crash does", t, func() {
 		e := newTestEngine()
-		for range brokenMost {
+		for range maxConsecutiveBroken {
 			e.finish(grantAt(e, "lost", start, Part{ID: 1, Tokens: 100}), Broken{}, start)
 		}
-		So(e.usable(start.Add(time.Millisecond)), ShouldBeFalse)
-		So(e.usable(start.Add(suspectFor+time.Millisecond)), ShouldBeTrue)
+		So(e.isUsable(start.Add(time.Millisecond)), ShouldBeFalse)
+		So(e.isUsable(start.Add(minEjection+time.Millisecond)), ShouldBeTrue)
 	})
 	Convey("An engine without connections rests at once, and longer each time", t, func() {
 		e := newTestEngine()
 		e.finish(grantAt(e, "1", start), Unreachable{}, start)
-		So(e.usable(start.Add(suspectFor-time.Millisecond)), ShouldBeFalse)
+		So(e.isUsable(start.Add(minEjection-time.Millisecond)), ShouldBeFalse)
 		again := start.Add(time.Second)
 		e.finish(grantAt(e, "2", again), Unreachable{}, again)
-		So(e.usable(again.Add(2*suspectFor-time.Millisecond)), ShouldBeFalse)
-		So(e.usable(again.Add(2*suspectFor+time.Millisecond)), ShouldBeTrue)
+		So(e.isUsable(again.Add(2*minEjection-time.Millisecond)), ShouldBeFalse)
+		So(e.isUsable(again.Add(2*minEjection+time.Millisecond)), ShouldBeTrue)
 	})
 	Convey("A part behind one that is not kept has to be read again", t, func() {
 		e := newTestEngine()
 		first, second, own := Part{ID: 1, Tokens: 1000}, Part{ID: 2, Tokens: 2000}, Part{ID: 3, Tokens: 10}
-		e.keep(second)
-		tokens, shared := e.missing(&Prompt{Parts: []Part{first, second, own}})
+		e.addCached(second)
+		tokens, shared := e.missingTokens(&Prompt{Parts: []Part{first, second, own}})
 		So(tokens, ShouldEqual, 3010)
 		So(shared, ShouldEqual, 3000)
-		e.keep(first)
-		tokens, shared = e.missing(&Prompt{Parts: []Part{first, second, own}})
+		e.addCached(first)
+		tokens, shared = e.missingTokens(&Prompt{Parts: []Part{first, second, own}})
 		So(tokens, ShouldEqual, 10)
 		So(shared, ShouldEqual, 0)
 	})
 	Convey("The parts unused for longest give way first", t, func() {
 		e := newTestEngine()
-		e.keep(Part{ID: 1, Tokens: 40000})
-		e.keep(Part{ID: 2, Tokens: 40000})
-		e.keep(Part{ID: 1, Tokens: 40000})
-		e.keep(Part{ID: 3, Tokens: 40000})
-		So(e.byPart[2], ShouldBeNil)
-		So(e.byPart[1], ShouldNotBeNil)
-		So(e.keptTokens, ShouldEqual, 80000)
+		e.addCached(Part{ID: 1, Tokens: 40000})
+		e.addCached(Part{ID: 2, Tokens: 40000})
+		e.addCached(Part{ID: 1, Tokens: 40000})
+		e.addCached(Part{ID: 3, Tokens: 40000})
+		So(e.cacheIndex[2], ShouldBeNil)
+		So(e.cacheIndex[1], ShouldNotBeNil)
+		So(e.cachedTokens, ShouldEqual, 80000)
 	})
 	Convey("The predicted wait falls while the engine reads, but not below what waits behind", t, func() {
 		e := newTestEngine()
-		grantAt(e, "1", start, Part{ID: 1, Tokens: firstRate / 10})
-		grantAt(e, "2", start, Part{ID: 2, Tokens: firstRate / 10})
-		So(e.wait(start), ShouldEqual, 200*time.Millisecond)
-		So(e.wait(start.Add(50*time.Millisecond)), ShouldEqual, 150*time.Millisecond)
+		grantAt(e, "1", start, Part{ID: 1, Tokens: initialRate / 10})
+		grantAt(e, "2", start, Part{ID: 2, Tokens: initialRate / 10})
+		So(e.predictedWait(start), ShouldEqual, 200*time.Millisecond)
+		So(e.predictedWait(start.Add(50*time.Millisecond)), ShouldEqual, 150*time.Millisecond)
 		// The first token comes a lag after the reading; the second prompt is read then.
-		So(e.wait(start.Add(firstLag+50*time.Millisecond)), ShouldEqual, 90*time.Millisecond)
-		So(e.wait(start.Add(time.Second)), ShouldEqual, 100*time.Millisecond)
+		So(e.predictedWait(start.Add(initialLag+50*time.Millisecond)), ShouldEqual, 90*time.Millisecond)
+		So(e.predictedWait(start.Add(time.Second)), ShouldEqual, 100*time.Millisecond)
 	})
 	Convey("An engine that begins nothing for long is not used until it does", t, func() {
 		e := newTestEngine()
 		g := grantAt(e, "1", start, Part{ID: 1, Tokens: 4500})
 		later := start.Add(3 * time.Second)
-		So(e.usable(later), ShouldBeFalse)
+		So(e.isUsable(later), ShouldBeFalse)
 		e.begin(g, later)
-		So(e.usable(later.Add(time.Millisecond)), ShouldBeTrue)
+		So(e.isUsable(later.Add(time.Millisecond)), ShouldBeTrue)
 	})
 	Convey("The rate follows what is seen", t, func() {
 		e := newTestEngine()
 		now := start
 		for range 40 {
 			g := grantAt(e, "x", now, Part{ID: uint64(now.UnixNano()), Tokens: 10000})
-			now = now.Add(firstLag + 500*time.Millisecond)
+			now = now.Add(initialLag + 500*time.Millisecond)
 			e.begin(g, now)
 		}
 		So(e.rate, ShouldBeBetween, 19000, 21500)
@@ -123,10 +123,10 @@
 		for _, lag := range []time.Duration{15 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
 			Convey(fmt.Sprintf("Of %.0f tokens a second after %s, also where the first requests are few", rate, lag), t, func() {
 				s := newSimulation(3, 0, rate)
-				s.first = lag
-				s.play(8*time.Second, source{customer: "a", route: "long", perSecond: rate / 6600, aim: time.Minute, own: 6600, output: 10},
-					source{customer: "a", route: "short", perSecond: 10, aim: time.Minute, own: 60, output: 10})
-				for _, e := range s.pool.inOrder {
+				s.firstTokenDelay = lag
+				s.play(8*time.Second, source{customer: "a", route: "long", perSecond: rate / 6600, latencyTarget: time.Minute, own: 6600, output: 10},
+					source{customer: "a", route: "short", perSecond: 10, latencyTarget: time.Minute, own: 60, output: 10})
+				for _, e := range s.pool.sorted {
 					So(e.rate, ShouldBeBetween, 0.55*rate, 1.5*rate)
 				}
 			})
@@ -134,16 +134,16 @@
 	}
 	Convey("Engines that were not measured are believed to be like those that were", t, func() {
 		p := newTestPool(2, 0)
-		p.engines["e0"].noteRead(20000, 200*time.Millisecond)
-		rest(p, "e1")
-		submit(p, askOf("1", "a", start, Part{ID: 1, Tokens: 10}), start)
+		p.engines["e0"].recordRead(20000, 200*time.Millisecond)
+		eject(p, "e1")
+		submit(p, newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), start)
 		So(p.engines["e1"].rate, ShouldEqual, p.engines["e0"].rate)
-		So(p.engines["e1"].rate, ShouldEqual, (firstRate+100000)/2)
+		So(p.engines["e1"].rate, ShouldEqual, (initialRate+100000)/2)
 	})
 	Convey("What another box granted tells nothing of the pace: more may have been read between", t, func() {
 		p := newTestPool(1, 0)
-		p.Adopt(askOf("1", "a", start, Part{ID: 1, Tokens: 10000}), "e0", false, start)
+		p.Adopt(newRequest("1", "a", start, Part{ID: 1, Tokens: 10000}), "e0", false, start)
 		p.Begin("1", start.Add(5*time.Second))
-		So(p.engines["e0"].measured(), ShouldBeFalse)
+		So(p.engines["e0"].isMeasured(), ShouldBeFalse)
 	})
 }
--- a/pkg/dispatch/fairness_test.go
+++ b/pkg/dispatch/fairness_test.go
@@ -36,14 +36,14 @@
 	const meanCost = 8900
 	rate := tokensPerSecond / meanCost
 	return []source{
-		{customer: name, route: "digest", perSecond: 0.38 * rate, aim: time.Second, shared: 13300, own: 3720, things: 1234, output: 120},
-		{customer: name, route: "report", perSecond: 0.16 * rate, aim: 800 * time.Millisecond, shared: 6300, own: 2890, things: 351, output: 52},
-		{customer: name, route: "chat", perSecond: 0.46 * rate, aim: 600 * time.Millisecond, shared: 350, own: 1110, things: 1476, output: 172},
+		{customer: name, route: "digest", perSecond: 0.38 * rate, latencyTarget: time.Second, shared: 13300, own: 3720, sharedParts: 1234, output: 120},
+		{customer: name, route: "report", perSecond: 0.16 * rate, latencyTarget: 800 * time.Millisecond, shared: 6300, own: 2890, sharedParts: 351, output: 52},
+		{customer: name, route: "chat", perSecond: 0.46 * rate, latencyTarget: 600 * time.Millisecond, shared: 350, own: 1110, sharedParts: 1476, output: 172},
 	}
 }
 
 // arrangement is a fleet with two customers beyond their share, and others.
-type arrangement struct {
+type scenario struct {
 	engines int
 	// first and second are the two customers' demands and rest that of all others
 	// together, in tokens a second and engine.
@@ -63,16 +63,16 @@
 )
 
 // play returns the fleet after some seconds.
-func (a arrangement) play(length time.Duration) *fleetSimulation {
+func (a scenario) play(length time.Duration) *fleetSimulation {
 	engines := float64(a.engines)
 	f := newFleetSimulation(fleetRouters, a.engines, statedRate*engines, readRate)
-	f.step = 12 * time.Millisecond
-	crowds := []crowd{
+	f.tokenInterval = 12 * time.Millisecond
+	crowds := []callerGroup{
 		{digestCustomer("first", a.first*engines), a.routers},
 		{digestCustomer("second", a.second*engines), fleetRouters},
 	}
 	for i := range otherCustomers {
-		crowds = append(crowds, crowd{digestCustomer(fmt.Sprint("other", i), a.rest*engines/otherCustomers), 1 + i%fleetRouters})
+		crowds = append(crowds, callerGroup{digestCustomer(fmt.Sprint("other", i), a.rest*engines/otherCustomers), 1 + i%fleetRouters})
 	}
 	f.play(length, a.takeOver, crowds...)
 	return f
@@ -80,7 +80,7 @@
 
 func TestSharesOfTwoFloods(t *testing.T) {
 	const length = 9 * time.Second
-	for _, a := range []arrangement{
+	for _, a := range []scenario{
 		{engines: 60, first: 33000, second: 170000, rest: 48000, routers: 1},
 		{engines: 60, first: 33000, second: 170000, rest: 48000, routers: fleetRouters},
 		{engines: 60, first: 33000, second: 170000, rest: 67000, routers: 1},
@@ -100,7 +100,7 @@
 // since they do not.
 func TestSmallCustomersBesideFloods(t *testing.T) {
 	Convey("Small customers get most of what they ask for, returns counted", t, func() {
-		f := arrangement{engines: 60, first: 33000, second: 170000, rest: 48000, routers: 1}.play(9 * time.Second)
+		f := scenario{engines: 60, first: 33000, second: 170000, rest: 48000, routers: 1}.play(9 * time.Second)
 		askedOfAll, gotOfAll := 0.0, 0.0
 		for i := range otherCustomers {
 			asked, got := f.rates(fmt.Sprint("other", i))
@@ -116,7 +116,7 @@
 	const length = 8 * time.Second
 	for seed := range uint64(6) {
 		draw := rand.New(rand.NewPCG(seed, 5))
-		a := arrangement{
+		a := scenario{
 			engines: 15 + draw.IntN(30),
 			first:   20000 * float64(1+draw.IntN(5)),
 			second:  20000 * float64(1+draw.IntN(30)),
@@ -163,10 +163,10 @@
 func (d drawnFleet) play(length time.Duration) *fleetSimulation {
 	stated := statedRate * float64(d.engines)
 	f := newFleetSimulation(fleetRouters, d.engines, stated, readRate)
-	f.step = 12 * time.Millisecond
-	var crowds []crowd
+	f.tokenInterval = 12 * time.Millisecond
+	var crowds []callerGroup
 	for i, demand := range d.demands {
-		crowds = append(crowds, crowd{digestCustomer(fmt.Sprint("customer", i), demand*stated/float64(d.customers)), d.routers[i]})
+		crowds = append(crowds, callerGroup{digestCustomer(fmt.Sprint("customer", i), demand*stated/float64(d.customers)), d.routers[i]})
 	}
 	f.play(length, d.takeOver, crowds...)
 	return f
@@ -199,23 +199,23 @@
 func TestHistory(t *testing.T) {
 	Convey("What was granted within the window is told, but for what runs and what was taken back", t, func() {
 		h := History{Window: 4 * time.Second}
-		asks := make([]*Ask, 4)
+		asks := make([]*Request, 4)
 		for i := range asks {
-			asks[i] = askOf(fmt.Sprint(i), "ward", start, Part{ID: 1, Tokens: 1000})
+			asks[i] = newRequest(fmt.Sprint(i), "ward", start, Part{ID: 1, Tokens: 1000})
 			asks[i].Route = "brief"
 			h.Grant(asks[i], start.Add(time.Duration(i)*time.Second))
 		}
 		h.Refund(asks[1], start.Add(3*time.Second))
 		one := asks[0].Cost()
-		So(h.Told(asks[3:], start.Add(3*time.Second)), ShouldResemble, []Service{{"ward", "brief", 2 * one}})
-		So(h.Told(nil, start.Add(time.Minute)), ShouldBeEmpty)
+		So(h.Report(asks[3:], start.Add(3*time.Second)), ShouldResemble, []GrantTotal{{"ward", "brief", 2 * one}})
+		So(h.Report(nil, start.Add(time.Minute)), ShouldBeEmpty)
 	})
 	Convey("It counts as granted, so that who got less is first in turn", t, func() {
 		p := newTestPool(1, 10000)
-		p.Recall(Service{"most", "brief", 5000}, start)
-		rest(p, "e0")
-		submit(p, askOf("1", "most", start, Part{ID: 1, Tokens: 10}), start)
-		submit(p, askOf("2", "other", start, Part{ID: 2, Tokens: 10}), start)
-		So(p.inTurn(start)[0].name, ShouldEqual, "other")
+		p.AddHistory(GrantTotal{"most", "brief", 5000}, start)
+		eject(p, "e0")
+		submit(p, newRequest("1", "most", start, Part{ID: 1, Tokens: 10}), start)
+		submit(p, newRequest("2", "other", start, Part{ID: 2, Tokens: 10}), start)
+		So(p.waitingAccounts(start)[0].name, ShouldEqual, "other")
 	})
 }
--- a/pkg/dispatch/fleet_simulation_test.go
+++ b/pkg/dispatch/fleet_simulation_test.go
@@ -12,37 +12,37 @@
 // over knows what runs, and is asked anew for what waits.
 type fleetSimulation struct {
 	*simulation
-	routers   []Floods
+	routers   []BacklogLimiter
 	histories []History
 	// hop is the time of a message between a router and the pool.
 	hop time.Duration
 	// seconds are what each customer asked for and got, by second of the play; what is
 	// granted counts when it begins.
-	seconds map[string][]second
+	seconds map[string][]secondUsage
 	// begun is when the play began.
 	begun time.Time
 	// waiting are the requests in line, by ID, and running those at engines.
-	waiting, running map[string]*fleetAsk
+	waiting, running map[string]*fleetRequest
 }
 
 // second is one customer's, in tokens. Refused tells that some request was.
-type second struct {
-	asked, got float64
-	refused    bool
+type secondUsage struct {
+	requested, granted float64
+	refused            bool
 }
 
 // fleetAsk is a request with where it came and where it is.
-type fleetAsk struct {
-	*Ask
+type fleetRequest struct {
+	*Request
 	router int
 	// again is set for callers who came back.
-	again    bool
+	isRetry  bool
 	endpoint string
 	begun    bool
 }
 
 // crowd is a customer's callers: they come to so many of the routers, from the first on.
-type crowd struct {
+type callerGroup struct {
 	sources []source
 	routers int
 }
@@ -50,12 +50,12 @@
 func newFleetSimulation(routers, engines int, tokensPerSecond, readRate float64) *fleetSimulation {
 	f := &fleetSimulation{
 		simulation: newSimulation(engines, tokensPerSecond, readRate),
-		routers:    make([]Floods, routers),
+		routers:    make([]BacklogLimiter, routers),
 		histories:  make([]History, routers),
 		hop:        2 * time.Millisecond,
-		seconds:    map[string][]second{},
-		waiting:    map[string]*fleetAsk{},
-		running:    map[string]*fleetAsk{},
+		seconds:    map[string][]secondUsage{},
+		waiting:    map[string]*fleetRequest{},
+		running:    map[string]*fleetRequest{},
 	}
 	for i := range f.histories {
 		f.histories[i].Window = f.pool.Rules.Window
@@ -64,17 +64,17 @@
 	return f
 }
 
-func (f *fleetSimulation) second(customer string) *second {
+func (f *fleetSimulation) second(customer string) *secondUsage {
 	number := int(f.now.Sub(f.begun) / time.Second)
 	for len(f.seconds[customer]) <= number {
-		f.seconds[customer] = append(f.seconds[customer], second{})
+		f.seconds[customer] = append(f.seconds[customer], secondUsage{})
 	}
 	return &f.seconds[customer][number]
 }
 
 // play sends all crowds' requests for a time. Where takeOver is not zero, another pool
 // takes over then.
-func (f *fleetSimulation) play(length, takeOver time.Duration, crowds ...crowd) {
+func (f *fleetSimulation) play(length, takeOver time.Duration, crowds ...callerGroup) {
 	end := f.now.Add(length)
 	number := 0
 	for _, c := range crowds {
@@ -82,8 +82,8 @@
 			from := &c.sources[i]
 			for when := f.next(f.now, from); when.Before(end); when = f.next(when, from) {
 				number++
-				ask := &fleetAsk{Ask: f.askOf(from, number, when), router: f.rand.IntN(c.routers)}
-				f.at(when, func() { f.come(ask) })
+				req := &fleetRequest{Request: f.newRequest(from, number, when), router: f.rand.IntN(c.routers)}
+				f.at(when, func() { f.receive(req) })
 			}
 		}
 	}
@@ -98,63 +98,63 @@
 }
 
 // come is a caller's request at its router.
-func (f *fleetSimulation) come(ask *fleetAsk) {
-	ask.cost = ask.Cost()
-	f.second(ask.Customer).asked += ask.cost
-	if f.routers[ask.router].Enter(ask.Customer, false, f.now) != Admitted {
-		wait := part(ask.Aim, f.pool.Rules.Hold)
-		f.refuse(ask, wait+time.Duration(f.rand.Int64N(int64(wait))))
+func (f *fleetSimulation) receive(req *fleetRequest) {
+	req.cost = req.Cost()
+	f.second(req.Customer).requested += req.cost
+	if f.routers[req.router].Enter(req.Customer, false, f.now) != Admitted {
+		wait := fraction(req.LatencyTarget, f.pool.Rules.MaxWaitFraction)
+		f.refuse(req, wait+time.Duration(f.rand.Int64N(int64(wait))))
 		return
 	}
-	f.at(f.now.Add(f.hop), func() { f.submit(ask) })
+	f.at(f.now.Add(f.hop), func() { f.submit(req) })
 }
 
-func (f *fleetSimulation) submit(ask *fleetAsk) {
-	f.waiting[ask.ID] = ask
-	f.pool.Submit(ask.Ask, f.now)
+func (f *fleetSimulation) submit(req *fleetRequest) {
+	f.waiting[req.ID] = req
+	f.pool.Submit(req.Request, f.now)
 }
 
 // refuse has a caller come back once.
-func (f *fleetSimulation) refuse(ask *fleetAsk, retryAfter time.Duration) {
-	f.second(ask.Customer).refused = true
-	if ask.again {
+func (f *fleetSimulation) refuse(req *fleetRequest, retryAfter time.Duration) {
+	f.second(req.Customer).refused = true
+	if req.isRetry {
 		return
 	}
-	again := *ask.Ask
-	again.ID, again.Arrived = ask.ID+"again", f.now.Add(retryAfter)
-	f.at(again.Arrived, func() { f.come(&fleetAsk{Ask: &again, router: ask.router, again: true}) })
+	again := *req.Request
+	again.ID, again.Arrived = req.ID+"again", f.now.Add(retryAfter)
+	f.at(again.Arrived, func() { f.receive(&fleetRequest{Request: &again, router: req.router, isRetry: true}) })
 }
 
 func (f *fleetSimulation) decide() {
 	for _, d := range f.pool.Decide(f.now) {
 		switch d := d.(type) {
 		case Grant:
-			ask := f.waiting[d.Ask.ID]
-			delete(f.waiting, ask.ID)
-			f.routers[ask.router].Leave(ask.Customer, false, f.now)
-			f.run(ask, d)
-		case Turn:
-			ask := f.waiting[d.Ask.ID]
-			delete(f.waiting, ask.ID)
-			f.routers[ask.router].Leave(ask.Customer, d.Over, f.now)
-			f.at(f.now.Add(f.hop), func() { f.refuse(ask, d.RetryAfter) })
+			req := f.waiting[d.Request.ID]
+			delete(f.waiting, req.ID)
+			f.routers[req.router].Leave(req.Customer, false, f.now)
+			f.run(req, d)
+		case Refusal:
+			req := f.waiting[d.Request.ID]
+			delete(f.waiting, req.ID)
+			f.routers[req.router].Leave(req.Customer, d.OverShare, f.now)
+			f.at(f.now.Add(f.hop), func() { f.refuse(req, d.RetryAfter) })
 		}
 	}
 }
 
-func (f *fleetSimulation) run(ask *fleetAsk, g Grant) {
+func (f *fleetSimulation) run(req *fleetRequest, g Grant) {
 	begins := f.read(g)
-	ask.endpoint = g.Endpoint
-	f.running[ask.ID] = ask
-	f.histories[ask.router].Grant(ask.Ask, f.now)
+	req.endpoint = g.Endpoint
+	f.running[req.ID] = req
+	f.histories[req.router].Grant(req.Request, f.now)
 	f.at(begins, func() {
-		ask.begun = true
-		f.second(ask.Customer).got += ask.cost
-		f.pool.Begin(ask.ID, f.now)
+		req.begun = true
+		f.second(req.Customer).granted += req.cost
+		f.pool.Begin(req.ID, f.now)
 	})
-	f.at(begins.Add(time.Duration(ask.Output())*f.step), func() {
-		delete(f.running, ask.ID)
-		f.pool.End(ask.ID, Done{}, f.now)
+	f.at(begins.Add(time.Duration(req.ExpectedOutput())*f.tokenInterval), func() {
+		delete(f.running, req.ID)
+		f.pool.End(req.ID, Done{}, f.now)
 	})
 }
 
@@ -164,22 +164,22 @@
 	f.pool = &Pool{Rules: before.Rules, Rand: before.Rand, Warm: true}
 	f.pool.Configure(before.service, before.tokensPerSecond)
 	f.pool.SetEndpoints(before.Endpoints(), f.now)
-	for _, kept := range before.Kept() {
-		f.pool.Learn(kept, f.now)
+	for _, kept := range before.CachedParts() {
+		f.pool.AddCachedParts(kept, f.now)
 	}
-	running := make([][]*Ask, len(f.routers))
+	running := make([][]*Request, len(f.routers))
 	for _, id := range slices.Sorted(maps.Keys(f.running)) {
-		ask := f.running[id]
-		f.pool.Adopt(ask.Ask, ask.endpoint, ask.begun, f.now)
-		running[ask.router] = append(running[ask.router], ask.Ask)
+		req := f.running[id]
+		f.pool.Adopt(req.Request, req.endpoint, req.begun, f.now)
+		running[req.router] = append(running[req.router], req.Request)
 	}
 	for i := range f.histories {
-		for _, served := range f.histories[i].Told(running[i], f.now) {
-			f.pool.Recall(served, f.now)
+		for _, served := range f.histories[i].Report(running[i], f.now) {
+			f.pool.AddHistory(served, f.now)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.waiting)) {
-		f.pool.Submit(f.waiting[id].Ask, f.now)
+		f.pool.Submit(f.waiting[id].Request, f.now)
 	}
 }
 
@@ -195,8 +195,8 @@
 			got, due, refused := 0.0, 0.0, true
 			for number := from; number < from+span; number++ {
 				one, other := f.of(customer, number), f.of(best, number)
-				got += one.got
-				due += min(one.asked, other.got)
+				got += one.granted
+				due += min(one.requested, other.granted)
 				refused = refused && one.refused
 			}
 			if refused && got < part*due {
@@ -207,9 +207,9 @@
 	return ""
 }
 
-func (f *fleetSimulation) of(customer string, number int) second {
+func (f *fleetSimulation) of(customer string, number int) secondUsage {
 	if number >= len(f.seconds[customer]) {
-		return second{}
+		return secondUsage{}
 	}
 	return f.seconds[customer][number]
 }
@@ -219,7 +219,7 @@
 	for customer := range f.seconds {
 		got := 0.0
 		for number := from; number < to; number++ {
-			got += f.of(customer, number).got
+			got += f.of(customer, number).granted
 		}
 		if got > most || (got == most && customer < best) {
 			best, most = customer, got
@@ -231,8 +231,8 @@
 // rates are what a customer asked for and got in the whole play, in tokens a second.
 func (f *fleetSimulation) rates(customer string) (asked, got float64) {
 	for _, one := range f.seconds[customer] {
-		asked += one.asked
-		got += one.got
+		asked += one.requested
+		got += one.granted
 	}
 	length := f.now.Sub(f.begun).Seconds()
 	return asked / length, got / length
--- a/pkg/dispatch/groups_test.go
+++ b/pkg/dispatch/groups_test.go
@@ -24,7 +24,7 @@
 		fleet := make([]*simulation, groups)
 		for group := range fleet {
 			s := newSimulation(engines, statedRate*engines, readRate)
-			s.step, s.pool.Groups = 12*time.Millisecond, groups
+			s.tokenInterval, s.pool.Groups = 12*time.Millisecond, groups
 			var sources []source
 			for i := range wide {
 				sources = append(sources, digestCustomer(fmt.Sprint("wide", i), 0.5*statedRate*engines)...)
@@ -32,10 +32,10 @@
 			if group == 0 {
 				sources = append(sources, digestCustomer("narrow", 2*statedRate*engines)...)
 			}
-			s.elsewhere = func(customer string) (told Elsewhere) {
+			s.otherGroups = func(customer string) (told OtherGroupUsage) {
 				for _, other := range fleet {
 					if other != s {
-						other.tell(customer, &told)
+						other.addUsage(customer, &told)
 					}
 				}
 				return told
@@ -51,7 +51,7 @@
 		asked, got := map[string]float64{}, map[string]float64{}
 		for _, s := range fleet {
 			for key, one := range s.tallies {
-				asked[key.customer] += one.askedTokens
+				asked[key.customer] += one.requestedTokens
 				got[key.customer] += one.grantedTokens
 			}
 		}
--- a/pkg/dispatch/history.go
+++ b/pkg/dispatch/history.go
@@ -25,30 +25,30 @@
 
 // Service is what a customer was granted of one route, in tokens as Prompt.Cost counts
 // them.
-type Service struct {
+type GrantTotal struct {
 	Customer, Route string
 	Tokens          float64
 }
 
 // Grant notes a granted request.
-func (h *History) Grant(ask *Ask, now time.Time) { h.add(ask, 1, now) }
+func (h *History) Grant(req *Request, now time.Time) { h.add(req, 1, now) }
 
 // Refund takes it back, where the customer got nothing by it.
-func (h *History) Refund(ask *Ask, now time.Time) { h.add(ask, -1, now) }
+func (h *History) Refund(req *Request, now time.Time) { h.add(req, -1, now) }
 
-func (h *History) add(ask *Ask, factor float64, now time.Time) {
+func (h *History) add(req *Request, factor float64, now time.Time) {
 	if h.sums == nil {
 		h.sums = map[historyKey]*window{}
 	}
-	key := historyKey{ask.Customer, ask.Route}
+	key := historyKey{req.Customer, req.Route}
 	if h.sums[key] == nil {
 		h.sums[key] = &window{}
 	}
-	h.sums[key].add(factor*ask.Cost(), now, h.Window)
+	h.sums[key].add(factor*req.Cost(), now, h.Window)
 }
 
 // Sum is what one customer was granted.
-func (h *History) Sum(customer string, now time.Time) (granted float64) {
+func (h *History) Granted(customer string, now time.Time) (granted float64) {
 	for key, sum := range h.sums {
 		if key.customer == customer {
 			sum.advance(now, h.Window)
@@ -59,7 +59,7 @@
 }
 
 // Told is what to tell a box that is told of what runs as well, in a fixed order.
-func (h *History) Told(running []*Ask, now time.Time) (told []Service) {
+func (h *History) Report(running []*Request, now time.Time) (told []GrantTotal) {
 	left := map[historyKey]float64{}
 	for key, sum := range h.sums {
 		sum.advance(now, h.Window)
@@ -69,25 +69,25 @@
 		}
 		left[key] = sum.sum
 	}
-	for _, ask := range running {
-		left[historyKey{ask.Customer, ask.Route}] -= ask.Cost()
+	for _, req := range running {
+		left[historyKey{req.Customer, req.Route}] -= req.Cost()
 	}
 	order := func(a, b historyKey) int {
 		return cmp.Or(cmp.Compare(a.customer, b.customer), cmp.Compare(a.route, b.route))
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(left), order) {
 		if left[key] >= 1 {
-			told = append(told, Service{key.customer, key.route, left[key]})
+			told = append(told, GrantTotal{key.customer, key.route, left[key]})
 		}
 	}
 	return told
 }
 
 // Recall books what a router's requests were granted by another box.
-func (p *Pool) Recall(s Service, now time.Time) {
+func (p *Pool) AddHistory(s GrantTotal, now time.Time) {
 	a := p.account(s.Customer)
-	for _, u := range []*usage{&a.usage, &a.kind(s.Route).usage} {
-		u.asked.add(s.Tokens, now, p.Rules.Window)
+	for _, u := range []*usage{&a.usage, &a.queue(s.Route).usage} {
+		u.requested.add(s.Tokens, now, p.Rules.Window)
 		u.granted.add(s.Tokens, now, p.Rules.Window)
 	}
 	p.granted.add(s.Tokens, now, p.Rules.Window)
--- a/pkg/dispatch/leaders_test.go
+++ b/pkg/dispatch/leaders_test.go
@@ -20,7 +20,7 @@
 	*simulation
 	boxes []*leadersBox
 	// running are the requests at each engine.
-	running map[string][]*leadersAsk
+	running map[string][]*leadersRequest
 	down    map[string]bool
 	starts  int
 	// arrived is when the last message from one box to another one came.
@@ -44,11 +44,11 @@
 	gone, stops bool
 	knowsGone   map[int]bool
 	// waiting and running are its requests by ID.
-	waiting, running map[string]*leadersAsk
+	waiting, running map[string]*leadersRequest
 }
 
-type leadersAsk struct {
-	*Ask
+type leadersRequest struct {
+	*Request
 	box    *leadersBox
 	engine string
 	kills  bool
@@ -58,7 +58,7 @@
 func newLeadersSimulation(engines, boxes int, seed uint64) *leadersSimulation {
 	s := &leadersSimulation{
 		simulation: newSimulation(engines, 0, 45000),
-		running:    map[string][]*leadersAsk{},
+		running:    map[string][]*leadersRequest{},
 		down:       map[string]bool{},
 		arrived:    map[[2]int]time.Time{},
 		ends:       map[quarantine.Fingerprint]int{},
@@ -76,8 +76,8 @@
 			pool:      pool,
 			ledger:    ledger,
 			knowsGone: map[int]bool{},
-			waiting:   map[string]*leadersAsk{},
-			running:   map[string]*leadersAsk{},
+			waiting:   map[string]*leadersRequest{},
+			running:   map[string]*leadersRequest{},
 		})
 	}
 	return s
@@ -124,20 +124,20 @@
 	s.until(end)
 }
 
-func (s *leadersSimulation) come(ask *leadersAsk) {
-	b := ask.box
-	if b.gone || b.ledger.Check(ask.Fingerprint, s.now).Quarantined() {
+func (s *leadersSimulation) receive(req *leadersRequest) {
+	b := req.box
+	if b.gone || b.ledger.Check(req.Fingerprint, s.now).Quarantined() {
 		return
 	}
-	b.waiting[ask.ID] = ask
-	s.submit(ask)
+	b.waiting[req.ID] = req
+	s.submit(req)
 }
 
 // submit asks the box that this one asks now.
-func (s *leadersSimulation) submit(ask *leadersAsk) {
-	of, number := ask.box, ask.box.asks
-	told := *ask.Ask
-	told.Router = uint64(of.number + 1)
+func (s *leadersSimulation) submit(req *leadersRequest) {
+	of, number := req.box, req.box.asks
+	told := *req.Request
+	told.Stream = uint64(of.number + 1)
 	s.send(of, number, func(p *Pool) { p.Submit(&told, s.now) })
 }
 
@@ -161,22 +161,22 @@
 		switch d := d.(type) {
 		case Grant:
 			s.deliver(b, d)
-		case Turn:
-			s.turn(b, d)
+		case Refusal:
+			s.refuse(b, d)
 		}
 	}
 }
 
 func (s *leadersSimulation) deliver(by *leadersBox, g Grant) {
-	to := s.boxes[g.Ask.Router-1]
+	to := s.boxes[g.Request.Stream-1]
 	deliver := func() {
-		ask := to.waiting[g.Ask.ID]
-		if ask == nil || to.gone || to.asks != by.number {
-			by.pool.End(g.Ask.ID, Unused{}, s.now)
+		req := to.waiting[g.Request.ID]
+		if req == nil || to.gone || to.asks != by.number {
+			by.pool.End(g.Request.ID, Unused{}, s.now)
 			return
 		}
-		delete(to.waiting, ask.ID)
-		s.run(ask, g)
+		delete(to.waiting, req.ID)
+		s.run(req, g)
 	}
 	if to == by {
 		deliver()
@@ -185,60 +185,60 @@
 	s.message(by, to, deliver)
 }
 
-func (s *leadersSimulation) turn(by *leadersBox, d Turn) {
-	to := s.boxes[d.Ask.Router-1]
-	if to.asks == by.number && to.waiting[d.Ask.ID] != nil {
-		delete(to.waiting, d.Ask.ID)
+func (s *leadersSimulation) refuse(by *leadersBox, d Refusal) {
+	to := s.boxes[d.Request.Stream-1]
+	if to.asks == by.number && to.waiting[d.Request.ID] != nil {
+		delete(to.waiting, d.Request.ID)
 		s.refused++
 	}
 }
 
-func (s *leadersSimulation) run(ask *leadersAsk, g Grant) {
-	b := ask.box
+func (s *leadersSimulation) run(req *leadersRequest, g Grant) {
+	b := req.box
 	if s.down[g.Endpoint] {
-		s.settle(ask, Unreachable{})
-		if next := *ask.Ask; len(next.Excluded) < 2 {
+		s.settle(req, Unreachable{})
+		if next := *req.Request; len(next.Excluded) < 2 {
 			next.Excluded = append(slices.Clone(next.Excluded), g.Endpoint)
-			again := &leadersAsk{Ask: &next, box: b, kills: ask.kills}
-			s.come(again)
+			again := &leadersRequest{Request: &next, box: b, kills: req.kills}
+			s.receive(again)
 		}
 		return
 	}
-	if b.ledger.Check(ask.Fingerprint, s.now).Quarantined() {
-		s.settle(ask, Unused{})
+	if b.ledger.Check(req.Fingerprint, s.now).Quarantined() {
+		s.settle(req, Unused{})
 		return
 	}
-	ask.engine = g.Endpoint
-	b.running[ask.ID] = ask
-	s.running[g.Endpoint] = append(s.running[g.Endpoint], ask)
-	if s.kept[g.Endpoint] == nil {
-		s.kept[g.Endpoint] = map[uint64]bool{}
+	req.engine = g.Endpoint
+	b.running[req.ID] = req
+	s.running[g.Endpoint] = append(s.running[g.Endpoint], req)
+	if s.cached[g.Endpoint] == nil {
+		s.cached[g.Endpoint] = map[uint64]bool{}
 	}
 	begins := s.read(g)
-	if ask.kills {
-		s.at(begins.Add(s.killAfter), func() { s.crash(ask) })
+	if req.kills {
+		s.at(begins.Add(s.killAfter), func() { s.crash(req) })
 		return
 	}
-	s.at(begins, func() { s.tell(b, func(p *Pool) { p.Begin(ask.ID, s.now) }) })
-	s.at(begins.Add(time.Duration(ask.Output())*s.step), func() {
-		if ask.over {
+	s.at(begins, func() { s.report(b, func(p *Pool) { p.Begin(req.ID, s.now) }) })
+	s.at(begins.Add(time.Duration(req.ExpectedOutput())*s.tokenInterval), func() {
+		if req.over {
 			return
 		}
-		s.leave(ask)
+		s.removeRunning(req)
 		s.served++
-		s.settle(ask, Done{})
-		b.ledger.Clear(ask.Fingerprint, "llm", s.now)
+		s.settle(req, Done{})
+		b.ledger.Clear(req.Fingerprint, "llm", s.now)
 	})
 }
 
 // leave takes a request off its engine.
-func (s *leadersSimulation) leave(ask *leadersAsk) {
-	ask.over = true
-	s.running[ask.engine] = slices.DeleteFunc(s.running[ask.engine], func(other *leadersAsk) bool { return other == ask })
+func (s *leadersSimulation) removeRunning(req *leadersRequest) {
+	req.over = true
+	s.running[req.engine] = slices.DeleteFunc(s.running[req.engine], func(other *leadersRequest) bool { return other == req })
 }
 
 // tell has a box's own pool hear of something, and the one that it asks.
-func (s *leadersSimulation) tell(b *leadersBox, do func(*Pool)) {
+func (s *leadersSimulation) report(b *leadersBox, do func(*Pool)) {
 	if b.gone {
 		return
 	}
@@ -248,13 +248,13 @@
 	}
 }
 
-func (s *leadersSimulation) settle(ask *leadersAsk, how Outcome) {
-	delete(ask.box.running, ask.ID)
-	s.tell(ask.box, func(p *Pool) { p.End(ask.ID, how, s.now) })
+func (s *leadersSimulation) settle(req *leadersRequest, outcome Outcome) {
+	delete(req.box.running, req.ID)
+	s.report(req.box, func(p *Pool) { p.End(req.ID, outcome, s.now) })
 }
 
 // crash ends the engine of a deadly request, and all that runs there.
-func (s *leadersSimulation) crash(by *leadersAsk) {
+func (s *leadersSimulation) crash(by *leadersRequest) {
 	if by.over {
 		return
 	}
@@ -262,19 +262,19 @@
 	s.ends[by.Fingerprint]++
 	s.down[engine] = true
 	life := quarantine.InstanceOf("llm", engine, 0)
-	for _, ask := range slices.Clone(s.running[engine]) {
-		s.leave(ask)
-		if !ask.kills {
+	for _, req := range slices.Clone(s.running[engine]) {
+		s.removeRunning(req)
+		if !req.kills {
 			s.lost++
 		}
-		b := ask.box
+		b := req.box
 		s.after(time.Duration(s.rand.IntN(5))*time.Millisecond, func() {
 			if b.gone {
 				return
 			}
-			end := b.ledger.RecordEnd(ask.Fingerprint, life, s.now)
-			s.settle(ask, Ended{End: end})
-			s.spread(b)
+			end := b.ledger.RecordEnd(req.Fingerprint, life, s.now)
+			s.settle(req, Ended{End: end})
+			s.shareEnds(b)
 		})
 	}
 	s.starts++
@@ -283,7 +283,7 @@
 }
 
 // spread has the other boxes hear what one saw.
-func (s *leadersSimulation) spread(from *leadersBox) {
+func (s *leadersSimulation) shareEnds(from *leadersBox) {
 	ends, _ := from.ledger.Since(0, "", s.now)
 	for _, other := range s.boxes {
 		if other != from {
@@ -308,19 +308,19 @@
 }
 
 // turnTo has a box ask another one from now on.
-func (s *leadersSimulation) turnTo(b *leadersBox, number int) {
+func (s *leadersSimulation) switchTo(b *leadersBox, number int) {
 	if b.gone || b.asks == number {
 		return
 	}
 	if before := s.boxes[b.asks]; before != b {
-		s.message(b, before, func() { before.pool.Forget(uint64(b.number+1), s.now) })
+		s.message(b, before, func() { before.pool.DropStream(uint64(b.number+1), s.now) })
 	}
 	b.asks = number
 	for _, id := range slices.Sorted(maps.Keys(b.running)) {
-		ask := b.running[id]
-		told := *ask.Ask
-		told.Router = uint64(b.number + 1)
-		s.send(b, number, func(p *Pool) { p.Adopt(&told, ask.engine, false, s.now) })
+		req := b.running[id]
+		told := *req.Request
+		told.Stream = uint64(b.number + 1)
+		s.send(b, number, func(p *Pool) { p.Adopt(&told, req.engine, false, s.now) })
 	}
 	for _, id := range slices.Sorted(maps.Keys(b.waiting)) {
 		s.submit(b.waiting[id])
@@ -329,7 +329,7 @@
 
 // lose has a box go: at once with all its requests, or by a planned stop, in which it goes on
 // with those that it has. The others turn to the next one within a time.
-func (s *leadersSimulation) lose(number int, killed bool, within time.Duration) {
+func (s *leadersSimulation) failBox(number int, killed bool, within time.Duration) {
 	gone := s.boxes[number]
 	next := (number + 1) % len(s.boxes)
 	for _, b := range s.boxes {
@@ -339,66 +339,66 @@
 		s.after(time.Duration(s.rand.Int64N(int64(within))), func() {
 			b.knowsGone[number] = true
 			if b.asks == number {
-				s.turnTo(b, next)
+				s.switchTo(b, next)
 			}
 		})
 	}
 	if !killed {
 		gone.stops = true
-		s.after(s.hop(), func() { s.turnTo(gone, next) })
+		s.after(s.hop(), func() { s.switchTo(gone, next) })
 		return
 	}
 	gone.gone = true
 	for _, id := range slices.Sorted(maps.Keys(gone.running)) {
-		s.leave(gone.running[id])
+		s.removeRunning(gone.running[id])
 	}
 }
 
 // doubt has one box ask another one, or decide alone, for a while.
-func (s *leadersSimulation) doubt(b *leadersBox, number int, length time.Duration) {
+func (s *leadersSimulation) divert(b *leadersBox, number int, length time.Duration) {
 	before := b.asks
-	s.turnTo(b, number)
+	s.switchTo(b, number)
 	s.after(length, func() {
 		if b.asks == number && !s.boxes[before].gone {
-			s.turnTo(b, before)
+			s.switchTo(b, before)
 		}
 	})
 }
 
 // innocents come to all boxes at a rate a second.
-func (s *leadersSimulation) innocents(perSecond float64, length time.Duration) (number int) {
-	from := &source{customer: "others", route: "chat", perSecond: perSecond, aim: 600 * time.Millisecond, shared: 350, own: 1110, things: 160, output: 170}
+func (s *leadersSimulation) sendInnocents(perSecond float64, length time.Duration) (number int) {
+	from := &source{customer: "others", route: "chat", perSecond: perSecond, latencyTarget: 600 * time.Millisecond, shared: 350, own: 1110, sharedParts: 160, output: 170}
 	end := s.now.Add(length)
 	for at := s.next(s.now, from); at.Before(end); at = s.next(at, from) {
 		number++
-		ask := &leadersAsk{Ask: s.askOf(from, number, at), box: s.boxes[s.rand.IntN(len(s.boxes))]}
-		ask.Fingerprint = fingerprintOf("others", ask.ID)
-		s.at(at, func() { s.come(ask) })
+		req := &leadersRequest{Request: s.newRequest(from, number, at), box: s.boxes[s.rand.IntN(len(s.boxes))]}
+		req.Fingerprint = fingerprintOf("others", req.ID)
+		s.at(at, func() { s.receive(req) })
 	}
 	return number
 }
 
 // waves has repeats of one deadly request come to all boxes at once, again and again.
-func (s *leadersSimulation) waves(body string, from, gap time.Duration, count, each int) {
+func (s *leadersSimulation) sendWaves(body string, from, gap time.Duration, count, each int) {
 	// Repeats may tell other parts of their prompt, long ones too.
 	shared := 350
 	if s.rand.IntN(2) == 0 {
-		shared = 3 * smallShared
+		shared = 3 * maxShortShared
 	}
-	source := &source{customer: "one", route: "chat", aim: 600 * time.Millisecond, shared: shared, own: 900, things: 3, output: 50}
+	source := &source{customer: "one", route: "chat", latencyTarget: 600 * time.Millisecond, shared: shared, own: 900, sharedParts: 3, output: 50}
 	for wave := range count {
 		for i := range each * len(s.boxes) {
 			spread := time.Duration(s.rand.IntN(5)) * time.Millisecond
 			at := s.now.Add(from + time.Duration(wave)*gap + spread)
-			ask := &leadersAsk{Ask: s.askOf(source, 0, at), box: s.boxes[i%len(s.boxes)], kills: true}
-			ask.ID = fmt.Sprintf("%s-%d-%d", body, wave, i)
-			ask.Fingerprint = fingerprintOf("one", body)
-			s.at(at, func() { s.come(ask) })
+			req := &leadersRequest{Request: s.newRequest(source, 0, at), box: s.boxes[i%len(s.boxes)], kills: true}
+			req.ID = fmt.Sprintf("%s-%d-%d", body, wave, i)
+			req.Fingerprint = fingerprintOf("one", body)
+			s.at(at, func() { s.receive(req) })
 		}
 	}
 }
 
-func (s *leadersSimulation) mostEnds() (most int) {
+func (s *leadersSimulation) maxEnds() (most int) {
 	for _, count := range s.ends {
 		most = max(most, count)
 	}
@@ -411,9 +411,9 @@
 	engines, boxes := 4+draw.IntN(12), 3+draw.IntN(5)
 	s := newLeadersSimulation(engines, boxes, seed)
 	s.killAfter = time.Duration(10+draw.IntN(150)) * time.Millisecond
-	s.innocents(float64(engines)*5, 8*time.Second)
+	s.sendInnocents(float64(engines)*5, 8*time.Second)
 	at := 4*time.Second + time.Duration(draw.IntN(200))*time.Millisecond
-	s.waves("body", at, time.Duration(20+draw.IntN(60))*time.Millisecond, 12, 1+draw.IntN(2))
+	s.sendWaves("body", at, time.Duration(20+draw.IntN(60))*time.Millisecond, 12, 1+draw.IntN(2))
 	change := s.now.Add(at + time.Duration(draw.IntN(150)-30)*time.Millisecond)
 	name := ""
 	switch draw.IntN(5) {
@@ -421,10 +421,10 @@
 		name = "none"
 	case 1:
 		name = "the box that dispatches is stopped"
-		s.at(change, func() { s.lose(0, false, 100*time.Millisecond) })
+		s.at(change, func() { s.failBox(0, false, 100*time.Millisecond) })
 	case 2:
 		name = "the box that dispatches is killed"
-		s.at(change, func() { s.lose(0, true, 300*time.Millisecond) })
+		s.at(change, func() { s.failBox(0, true, 300*time.Millisecond) })
 	case 3:
 		name = "boxes ask another one or decide alone"
 		for _, b := range s.boxes[1:] {
@@ -432,7 +432,7 @@
 			if draw.IntN(2) == 0 {
 				to = 1
 			}
-			s.at(change.Add(time.Duration(draw.IntN(30))*time.Millisecond), func() { s.doubt(b, to, 1500*time.Millisecond) })
+			s.at(change.Add(time.Duration(draw.IntN(30))*time.Millisecond), func() { s.divert(b, to, 1500*time.Millisecond) })
 		}
 	case 4:
 		name = "boxes turn away and back, one after the other"
@@ -440,7 +440,7 @@
 			for range 3 {
 				after := time.Duration(draw.IntN(800)) * time.Millisecond
 				length := time.Duration(100+draw.IntN(1400)) * time.Millisecond
-				s.at(change.Add(after), func() { s.doubt(b, b.number, length) })
+				s.at(change.Add(after), func() { s.divert(b, b.number, length) })
 			}
 		}
 	}
@@ -453,7 +453,7 @@
 func TestMostEndsUnderChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, name := playLeaders(rapid.Uint64().Draw(t, "seed"))
-		if most := s.mostEnds(); most > quarantine.MaxEnds {
+		if most := s.maxEnds(); most > quarantine.MaxEnds {
 			t.Fatalf("a request ended %d engines: %s", most, name)
 		}
 	})
@@ -471,7 +471,7 @@
 			f = &figures{}
 			by[name] = f
 		}
-		ended := s.mostEnds()
+		ended := s.maxEnds()
 		f.plays++
 		f.most, f.ends = max(f.most, ended), f.ends+ended
 		f.lost, f.served, f.refused = f.lost+s.lost, f.served+s.served, f.refused+s.refused
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -16,9 +16,9 @@
 	// what comes next is to have the rest of its aim. 300 ms for aims from 300 ms on
 	// had 1 to 2 in 100 less of what was asked for answered in time (two times 8 pairs
 	// of simulated days with trouble).
-	BacklogPart float64
+	BacklogFraction float64
 	// BeyondPart is the same for customers beyond their share.
-	BeyondPart float64
+	OverShareBacklogFraction float64
 	// ReadPart is the part of their time for which engines read prompts where
 	// customers beyond their share divide what there is. A stream makes its tokens
 	// between pieces of others' prompts: at an engine that reads half of its time it
@@ -26,7 +26,7 @@
 	// under way. Of what was asked for on simulated days with such a fault, 0.5 and 0.7
 	// had 1 and 4 in 100 less answered in time than 0.4, 0.3 as much as 0.4, and calm
 	// days did not differ by more than 2 in 100 up to 0.5 (8 to 24 pairs of days).
-	ReadPart float64
+	ReadFraction float64
 	// BehindPart is the part of what the most served customer got in the window up to
 	// which another one does not wait for idle engines only: no customer that is refused
 	// may get less than half of what another one gets. Of two that asked for 3.7 and 19.8
@@ -37,14 +37,14 @@
 	// each).
 	// On simulated days with floods 0.9 cost 0.010 (error 0.004, 12 pairs) of what was
 	// asked for and answered in time, and 0.7 0.006 (0.004, 8 pairs).
-	BehindPart float64
+	CatchUpFraction float64
 	// Hold is the part of its aim for which a request may wait here.
-	Hold float64
+	MaxWaitFraction float64
 	// Homes is the least number of engines that a shared part is kept at.
-	Homes int
+	MinHomes int
 	// HomeLoad is the part of an engine's time that the requests of a shared
 	// part may take before it gets one more home.
-	HomeLoad float64
+	LoadPerHome float64
 	// MissFactor weighs the time for reading shared parts again, beside the time
 	// itself, for prompts that go to the homes of their parts only, and ShortMissFactor
 	// for those whose shared parts are short: they may go to any engine, and there are
@@ -56,22 +56,22 @@
 	Window time.Duration
 	// ColdFactor and ColdMore are by how much the fleet may go beyond what the operator
 	// states of cold engines, in any second: a factor, and requests.
-	ColdFactor, ColdMore float64
+	ColdFactor, ColdExtra float64
 }
 
 // DefaultRules are from measured rounds; docs/design/dispatch.md and
 // decisions-under-load.md tell which.
 func DefaultRules() Rules {
 	return Rules{
-		BacklogPart: 0.5,
-		BeyondPart:  0.125,
-		ReadPart:    0.4,
-		BehindPart:  0.75,
-		Hold:        0.24,
-		Homes:       2,
-		HomeLoad:    0.25,
-		MissFactor:  2,
-		Window:      4 * time.Second,
+		BacklogFraction:          0.5,
+		OverShareBacklogFraction: 0.125,
+		ReadFraction:             0.4,
+		CatchUpFraction:          0.75,
+		MaxWaitFraction:          0.24,
+		MinHomes:                 2,
+		LoadPerHome:              0.25,
+		MissFactor:               2,
+		Window:                   4 * time.Second,
 
 		ShortMissFactor: 10,
 	}
@@ -105,22 +105,22 @@
 
 	// ColdPart is the part of what cold engines take that is this pool's to use: that of
 	// the routers that ask it, of all. It is set before each decision.
-	ColdPart float64
+	ColdFraction float64
 
 	service         route.Service
 	tokensPerSecond float64
 	// bound is what a cold engine takes.
-	bound   lifecycle.Bound
-	engines map[string]*engine
+	coldBound lifecycle.Bound
+	engines   map[string]*engine
 	// rests are until when engines want nothing from a router, by its number.
-	rests map[uint64]*lifecycle.Rests
+	backoffs map[uint64]*lifecycle.Rests
 	// inOrder are the engines by ID, so that decisions do not depend on the
 	// order of a map.
-	inOrder  []*engine
+	sorted   []*engine
 	accounts map[string]*account
-	asks     map[string]*Ask
+	waiting  map[string]*Request
 	grants   map[string]*grant
-	parts    map[uint64]*partDemand
+	parts    map[uint64]*partStats
 	// exposed is where requests run, by fingerprint.
 	exposed map[quarantine.Fingerprint]exposure
 	queued  int
@@ -129,7 +129,7 @@
 	round uint64
 	// least is the shortest wait at any engine when the round began, and whether any
 	// was idle.
-	least view
+	best engineSnapshot
 
 	// warmUntil ends that belief; by then, parts in use have been seen.
 	warmUntil time.Time
@@ -140,11 +140,11 @@
 	shareAt time.Time
 	// realShare is the same by what the engines are seen to do, and by what the most
 	// served customer got.
-	realShare float64
+	measuredShare float64
 	// granted and read are the tokens of late grants, as Prompt.Cost counts them and
 	// as engines have to read them.
 	granted, read window
-	aims          aims
+	targets       latencyTargets
 	// tallies are by customer, since they were last taken.
 	tallies map[string]*Tally
 }
@@ -154,12 +154,12 @@
 	if p.engines == nil {
 		p.engines = map[string]*engine{}
 		p.accounts = map[string]*account{}
-		p.asks = map[string]*Ask{}
+		p.waiting = map[string]*Request{}
 		p.grants = map[string]*grant{}
-		p.parts = map[uint64]*partDemand{}
+		p.parts = map[uint64]*partStats{}
 		p.tallies = map[string]*Tally{}
 		p.exposed = map[quarantine.Fingerprint]exposure{}
-		p.rests = map[uint64]*lifecycle.Rests{}
+		p.backoffs = map[uint64]*lifecycle.Rests{}
 		p.round = 1
 		if p.Ledger == nil {
 			p.Ledger = &quarantine.Ledger{}
@@ -167,80 +167,80 @@
 	}
 	p.service = service
 	p.tokensPerSecond = tokensPerSecond
-	p.bound = service.Cold.Bound(p.Rules.ColdFactor, p.Rules.ColdMore)
+	p.coldBound = service.Cold.Bound(p.Rules.ColdFactor, p.Rules.ColdExtra)
 }
 
 // Endpoints are the engines, by ID.
 func (p *Pool) Endpoints() []route.Endpoint {
-	endpoints := make([]route.Endpoint, len(p.inOrder))
-	for i, e := range p.inOrder {
+	endpoints := make([]route.Endpoint, len(p.sorted))
+	for i, e := range p.sorted {
 		endpoints[i] = e.Endpoint
 	}
 	return endpoints
 }
 
 // BoundsCold tells whether cold engines take only so much.
-func (p *Pool) BoundsCold() bool { return p.bound.MaxPerSecond > 0 }
+func (p *Pool) HasColdLimit() bool { return p.coldBound.MaxPerSecond > 0 }
 
 // Submit puts a request in line. One that is in line already is asked for anew, by
 // another way or as the verdict was lost: the later way counts, and a grant that the
 // router does not know of is void.
-func (p *Pool) Submit(ask *Ask, now time.Time) {
-	if known := p.asks[ask.ID]; known != nil {
-		known.Router = ask.Router
+func (p *Pool) Submit(req *Request, now time.Time) {
+	if known := p.waiting[req.ID]; known != nil {
+		known.Stream = req.Stream
 		return
 	}
-	p.End(ask.ID, Unused{}, now)
-	ask.cost = ask.Cost()
-	p.aims.note(ask.Aim, now, p.Rules.Window)
-	a := p.account(ask.Customer)
-	a.noteAsked(ask, now, p.Rules.Window)
-	a.elsewhere.note(ask.Box, ask.Elsewhere, now)
-	p.tally(ask.Customer).Asked += ask.cost
-	ask.hopeless = !p.admits(ask, now) || p.quarantined(ask, now) || p.hopeless(a, ask, now)
-	a.enqueue(ask)
-	p.asks[ask.ID] = ask
+	p.End(req.ID, Unused{}, now)
+	req.cost = req.Cost()
+	p.targets.record(req.LatencyTarget, now, p.Rules.Window)
+	a := p.account(req.Customer)
+	a.addRequested(req, now, p.Rules.Window)
+	a.otherGroups.record(req.BoxHash, req.OtherGroupUsage, now)
+	p.tallyFor(req.Customer).Requested += req.cost
+	req.refuseNow = !p.hasEligibleEngine(req, now) || p.isQuarantined(req, now) || p.isBacklogTooLong(a, req, now)
+	a.enqueue(req)
+	p.waiting[req.ID] = req
 	p.queued++
-	p.demand(&ask.Prompt, now)
+	p.recordDemand(&req.Prompt, now)
 }
 
 // Adopt books a request that another dispatcher granted, or notes the new way by
 // which a router tells of one that is booked already.
-func (p *Pool) Adopt(ask *Ask, endpoint string, begun bool, now time.Time) {
-	if known := p.grants[ask.ID]; known != nil {
-		known.ask.Router = ask.Router
+func (p *Pool) Adopt(req *Request, endpoint string, begun bool, now time.Time) {
+	if known := p.grants[req.ID]; known != nil {
+		known.req.Stream = req.Stream
 		return
 	}
 	e := p.engines[endpoint]
 	if e == nil {
 		return
 	}
-	ask.cost = ask.Cost()
-	a := p.account(ask.Customer)
-	a.noteAsked(ask, now, p.Rules.Window)
-	g := p.book(ask, e, now)
+	req.cost = req.Cost()
+	a := p.account(req.Customer)
+	a.addRequested(req, now, p.Rules.Window)
+	g := p.book(req, e, now)
 	g.adopted = true
 	if begun {
 		g.begun = true
-		e.remove(g)
+		e.removePending(g)
 	}
 }
 
 // Withdraw takes a request out of line. It reports whether it still waited.
 func (p *Pool) Withdraw(id string) bool {
-	ask := p.asks[id]
-	if ask == nil {
+	req := p.waiting[id]
+	if req == nil {
 		return false
 	}
-	p.take(p.account(ask.Customer), ask)
-	p.tally(ask.Customer).Withdrawn += ask.cost
+	p.dequeue(p.account(req.Customer), req)
+	p.tallyFor(req.Customer).Withdrawn += req.cost
 	return true
 }
 
 // take takes a waiting request out of line.
-func (p *Pool) take(a *account, ask *Ask) {
-	a.dequeue(ask)
-	delete(p.asks, ask.ID)
+func (p *Pool) dequeue(a *account, req *Request) {
+	a.dequeue(req)
+	delete(p.waiting, req.ID)
 	p.queued--
 }
 
@@ -251,24 +251,24 @@
 		return
 	}
 	if !g.begun && !g.adopted {
-		p.tally(g.ask.Customer).Begun += g.ask.cost
+		p.tallyFor(g.req.Customer).Begun += g.req.cost
 	}
 	g.engine.begin(g, now)
 }
 
 // End settles a granted request.
-func (p *Pool) End(id string, how Outcome, now time.Time) {
+func (p *Pool) End(id string, outcome Outcome, now time.Time) {
 	g := p.grants[id]
 	if g == nil {
 		return
 	}
 	delete(p.grants, id)
-	if ended, ok := how.(Ended); ok {
-		p.noteEnded(ended, now)
+	if ended, ok := outcome.(Ended); ok {
+		p.recordEnd(ended, now)
 	}
-	p.unexpose(g)
-	g.engine.finish(g, how, now)
-	switch how.(type) {
+	p.removeExposure(g)
+	g.engine.finish(g, outcome, now)
+	switch outcome.(type) {
 	case Unused, NotRun, Unreachable:
 		p.refund(g, now)
 	case Broken, Ended:
@@ -277,7 +277,7 @@
 		}
 	case Done:
 		if g.begun && !g.adopted {
-			p.tally(g.ask.Customer).Answered += g.ask.cost
+			p.tallyFor(g.req.Customer).Answered += g.req.cost
 		}
 	}
 }
@@ -286,28 +286,28 @@
 // by it.
 func (p *Pool) refund(g *grant, now time.Time) {
 	if !g.adopted {
-		p.tally(g.ask.Customer).GivenBack += g.ask.cost
+		p.tallyFor(g.req.Customer).Refunded += g.req.cost
 	}
-	p.account(g.ask.Customer).noteGranted(g.ask, -1, now, p.Rules.Window)
+	p.account(g.req.Customer).addGranted(g.req, -1, now, p.Rules.Window)
 }
 
 // Forget drops all that one router has waiting and running, when it is gone.
-func (p *Pool) Forget(router uint64, now time.Time) {
-	delete(p.rests, router)
-	for id, ask := range p.asks {
-		if ask.Router == router {
+func (p *Pool) DropStream(router uint64, now time.Time) {
+	delete(p.backoffs, router)
+	for id, req := range p.waiting {
+		if req.Stream == router {
 			p.Withdraw(id)
 		}
 	}
 	for id, g := range p.grants {
-		if g.ask.Router == router {
+		if g.req.Stream == router {
 			p.End(id, Done{}, now)
 		}
 	}
 }
 
 // Waits tells whether a request is in line.
-func (p *Pool) Waits(id string) bool { return p.asks[id] != nil }
+func (p *Pool) IsWaiting(id string) bool { return p.waiting[id] != nil }
 
 // Waiting is the number of requests in line.
 func (p *Pool) Waiting() int { return p.queued }
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -23,41 +23,41 @@
 }
 
 // rest has an engine get nothing new for as long as a test takes.
-func rest(p *Pool, id string) { p.engines[id].suspectUntil = start.Add(time.Hour) }
+func eject(p *Pool, id string) { p.engines[id].ejectedUntil = start.Add(time.Hour) }
 
 // shared is a long part that other prompts have too.
 func shared(id uint64) Part { return Part{ID: id, Tokens: 13000} }
 
 // submit puts a request in line and returns what is decided at once.
-func submit(p *Pool, ask *Ask, now time.Time) []Decision {
-	p.Submit(ask, now)
+func submit(p *Pool, req *Request, now time.Time) []Decision {
+	p.Submit(req, now)
 	return p.Decide(now)
 }
 
 func TestPlacement(t *testing.T) {
 	Convey("A shared part is read at one engine, and its prompts go there again", t, func() {
 		p := newTestPool(9, 0)
-		first := submit(p, askOf("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)
+		first := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)
 		So(first, ShouldHaveLength, 1)
 		grant := first[0].(Grant)
-		So(grant.Missing, ShouldEqual, 13000)
+		So(grant.MissingTokens, ShouldEqual, 13000)
 		later := start.Add(2 * time.Second)
 		p.Begin("1", later)
 		p.End("1", Done{}, later)
-		again := submit(p, askOf("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later)[0].(Grant)
+		again := submit(p, newRequest("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later)[0].(Grant)
 		So(again.Endpoint, ShouldEqual, grant.Endpoint)
-		So(again.Missing, ShouldEqual, 0)
+		So(again.MissingTokens, ShouldEqual, 0)
 	})
 	Convey("A prompt waits for the engine that keeps its part rather than have it read elsewhere", t, func() {
 		p := newTestPool(9, 0)
-		home := submit(p, askOf("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
+		home := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
 		later := start.Add(2 * time.Second)
 		p.Begin("1", later)
 		// Fill the home beyond the bound.
 		for i := range 3 {
-			p.book(askOf(fmt.Sprint("fill", i), "b", later, Part{ID: uint64(200 + i), Tokens: 6000}), p.engines[home], later)
+			p.book(newRequest(fmt.Sprint("fill", i), "b", later, Part{ID: uint64(200 + i), Tokens: 6000}), p.engines[home], later)
 		}
-		So(submit(p, askOf("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later), ShouldBeEmpty)
+		So(submit(p, newRequest("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later), ShouldBeEmpty)
 		p.Begin("fill0", later.Add(50*time.Millisecond))
 		p.Begin("fill1", later.Add(50*time.Millisecond))
 		decided := p.Decide(later.Add(50 * time.Millisecond))
@@ -67,21 +67,21 @@
 	Convey("A prompt with a short shared part goes where that is kept, unless it waits far longer there", t, func() {
 		p := newTestPool(9, 0)
 		short := Part{ID: 7, Tokens: 500}
-		home := submit(p, askOf("1", "a", start, short, Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
-		p.Begin("1", start.Add(firstLag))
+		home := submit(p, newRequest("1", "a", start, short, Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
+		p.Begin("1", start.Add(initialLag))
 		later := start.Add(time.Second)
-		p.book(askOf("fill", "b", later, Part{ID: 200, Tokens: 4000}), p.engines[home], later)
-		So(submit(p, askOf("2", "a", later, short, Part{ID: 101, Tokens: 100}), later)[0].(Grant).Endpoint, ShouldEqual, home)
-		p.book(askOf("more", "b", later, Part{ID: 201, Tokens: 8000}), p.engines[home], later)
-		So(submit(p, askOf("3", "a", later, short, Part{ID: 102, Tokens: 100}), later)[0].(Grant).Endpoint, ShouldNotEqual, home)
+		p.book(newRequest("fill", "b", later, Part{ID: 200, Tokens: 4000}), p.engines[home], later)
+		So(submit(p, newRequest("2", "a", later, short, Part{ID: 101, Tokens: 100}), later)[0].(Grant).Endpoint, ShouldEqual, home)
+		p.book(newRequest("more", "b", later, Part{ID: 201, Tokens: 8000}), p.engines[home], later)
+		So(submit(p, newRequest("3", "a", later, short, Part{ID: 102, Tokens: 100}), later)[0].(Grant).Endpoint, ShouldNotEqual, home)
 	})
 	Convey("Where its home is far behind, it goes to another one", t, func() {
 		p := newTestPool(9, 0)
-		home := submit(p, askOf("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
+		home := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
 		later := start.Add(2 * time.Second)
 		p.Begin("1", later)
-		p.book(askOf("fill", "b", later, Part{ID: 200, Tokens: 100000}), p.engines[home], later)
-		decided := submit(p, askOf("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later)
+		p.book(newRequest("fill", "b", later, Part{ID: 200, Tokens: 100000}), p.engines[home], later)
+		decided := submit(p, newRequest("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later)
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].(Grant).Endpoint, ShouldNotEqual, home)
 	})
@@ -89,10 +89,10 @@
 		p := newTestPool(9, 0)
 		homes := map[uint64]string{}
 		for id := range uint64(50) {
-			homes[id] = p.homes(&Ask{Prompt: Prompt{Parts: []Part{shared(id), {ID: 1000, Tokens: 1}}}}, start)[0].ID
+			homes[id] = p.homes(&Request{Prompt: Prompt{Parts: []Part{shared(id), {ID: 1000, Tokens: 1}}}}, start)[0].ID
 		}
 		var left []route.Endpoint
-		for _, e := range p.inOrder {
+		for _, e := range p.sorted {
 			if e.ID != "e4" {
 				left = append(left, e.Endpoint)
 			}
@@ -100,63 +100,63 @@
 		p.SetEndpoints(left, start)
 		for id, home := range homes {
 			if home != "e4" {
-				So(p.homes(&Ask{Prompt: Prompt{Parts: []Part{shared(id), {ID: 1000, Tokens: 1}}}}, start)[0].ID, ShouldEqual, home)
+				So(p.homes(&Request{Prompt: Prompt{Parts: []Part{shared(id), {ID: 1000, Tokens: 1}}}}, start)[0].ID, ShouldEqual, home)
 			}
 		}
 	})
 	Convey("A request goes to no engine that it was refused by, nor to one that leaves", t, func() {
 		p := newTestPool(2, 0)
 		p.engines["e0"].life.Leaving = true
-		ask := askOf("1", "a", start, Part{ID: 1, Tokens: 10})
-		ask.Excluded = []string{"e1"}
+		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
+		req.Excluded = []string{"e1"}
 		// No engine is left that may serve it: it is refused at once, and not held in vain.
-		decided := submit(p, ask, start)
+		decided := submit(p, req, start)
 		So(decided, ShouldHaveLength, 1)
-		So(decided[0].(Turn).Ask, ShouldEqual, ask)
-		So(decided[0].(Turn).RetryAfter, ShouldBeGreaterThan, 0)
-		So(p.Waits("1"), ShouldBeFalse)
+		So(decided[0].(Refusal).Request, ShouldEqual, req)
+		So(decided[0].(Refusal).RetryAfter, ShouldBeGreaterThan, 0)
+		So(p.IsWaiting("1"), ShouldBeFalse)
 	})
 }
 
 func TestTurningAway(t *testing.T) {
 	Convey("What finds no room is turned away within its part of the aim, with a time to come back", t, func() {
 		p := newTestPool(1, 0)
-		rest(p, "e0")
-		ask := askOf("1", "a", start, Part{ID: 1, Tokens: 10})
-		So(submit(p, ask, start), ShouldBeEmpty)
+		eject(p, "e0")
+		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
+		So(submit(p, req, start), ShouldBeEmpty)
 		So(p.Decide(start.Add(150*time.Millisecond)), ShouldBeEmpty)
 		decided := p.Decide(start.Add(193 * time.Millisecond))
 		So(decided, ShouldHaveLength, 1)
-		So(decided[0].(Turn).RetryAfter, ShouldBeGreaterThan, 0)
+		So(decided[0].(Refusal).RetryAfter, ShouldBeGreaterThan, 0)
 		So(p.Waiting(), ShouldEqual, 0)
 	})
 	Convey("The time to come back is that in which what waits is granted: more for a longer line", t, func() {
 		comeBack := func(waiting int) time.Duration {
 			p := newTestPool(1, 10000)
 			a := p.account("a")
-			p.share, p.shareAt, p.least = 1, start, view{}
+			p.share, p.shareAt, p.best = 1, start, engineSnapshot{}
 			for i := range 8 {
-				ask := askOf(fmt.Sprint("granted", i), "a", start, Part{ID: 1, Tokens: 900})
-				ask.cost = ask.Cost()
-				a.noteGranted(ask, 1, start, p.Rules.Window)
+				req := newRequest(fmt.Sprint("granted", i), "a", start, Part{ID: 1, Tokens: 900})
+				req.cost = req.Cost()
+				a.addGranted(req, 1, start, p.Rules.Window)
 			}
 			for i := range waiting {
-				ask := askOf(fmt.Sprint("waiting", i), "a", start, Part{ID: 1, Tokens: 900})
-				ask.cost = ask.Cost()
-				a.enqueue(ask)
+				req := newRequest(fmt.Sprint("waiting", i), "a", start, Part{ID: 1, Tokens: 900})
+				req.cost = req.Cost()
+				a.enqueue(req)
 			}
-			return p.comeBack(a, askOf("new", "a", start, Part{ID: 1, Tokens: 900}), true, start)
+			return p.retryAfter(a, newRequest("new", "a", start, Part{ID: 1, Tokens: 900}), true, start)
 		}
 		// Eight were granted in four seconds, so one waits for half a second.
 		So(comeBack(1), ShouldBeBetween, 125*time.Millisecond, 375*time.Millisecond)
 		So(comeBack(4), ShouldBeBetween, 500*time.Millisecond, 1500*time.Millisecond)
-		So(comeBack(1000), ShouldBeLessThanOrEqualTo, comeBackLatest)
+		So(comeBack(1000), ShouldBeLessThanOrEqualTo, maxRetryAfter)
 		So(comeBack(0), ShouldBeGreaterThan, 0)
 	})
 	Convey("A withdrawn request is neither granted nor turned away", t, func() {
 		p := newTestPool(1, 0)
-		rest(p, "e0")
-		submit(p, askOf("1", "a", start, Part{ID: 1, Tokens: 10}), start)
+		eject(p, "e0")
+		submit(p, newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), start)
 		So(p.Withdraw("1"), ShouldBeTrue)
 		So(p.Withdraw("1"), ShouldBeFalse)
 		So(p.Decide(start.Add(time.Second)), ShouldBeEmpty)
@@ -165,8 +165,8 @@
 
 func TestShares(t *testing.T) {
 	Convey("The even share is max-min", t, func() {
-		So(evenShare([]float64{10, 20, 100, 100}, 130), ShouldEqual, 50)
-		So(evenShare([]float64{10, 20}, 100), ShouldBeGreaterThanOrEqualTo, 20)
+		So(maxMinShare([]float64{10, 20, 100, 100}, 130), ShouldEqual, 50)
+		So(maxMinShare([]float64{10, 20}, 100), ShouldBeGreaterThanOrEqualTo, 20)
 	})
 	Convey("With one customer flooding, another's requests go first", t, func() {
 		p := newTestPool(1, 100000)
@@ -176,15 +176,15 @@
 		for i := range 400 {
 			now = now.Add(25 * time.Millisecond)
 			for n := range 4 {
-				p.Submit(askOf(fmt.Sprintf("flood-%d-%d", i, n), "flood", now, Part{ID: uint64(1000 + 4*i + n), Tokens: 2000}), now)
+				p.Submit(newRequest(fmt.Sprintf("flood-%d-%d", i, n), "flood", now, Part{ID: uint64(1000 + 4*i + n), Tokens: 2000}), now)
 			}
 			if i%8 == 0 {
-				p.Submit(askOf(fmt.Sprintf("small-%d", i), "small", now, Part{ID: uint64(100000 + i), Tokens: 2000}), now)
+				p.Submit(newRequest(fmt.Sprintf("small-%d", i), "small", now, Part{ID: uint64(100000 + i), Tokens: 2000}), now)
 			}
 			for _, d := range p.Decide(now) {
 				if grant, ok := d.(Grant); ok {
-					served[grant.Ask.Customer]++
-					running = append(running, grant.Ask.ID)
+					served[grant.Request.Customer]++
+					running = append(running, grant.Request.ID)
 				}
 			}
 			// The engine reads one prompt of 2,000 tokens in 50 ms.
@@ -199,15 +199,15 @@
 	})
 	Convey("A customer far beyond its share gets idle engines only, one within it the whole bound", t, func() {
 		p := newTestPool(1, 10000)
-		p.Submit(askOf("first", "flood", start, Part{ID: 1, Tokens: 5000}), start)
-		p.Submit(askOf("other", "small", start, Part{ID: 2, Tokens: 1000}), start)
+		p.Submit(newRequest("first", "flood", start, Part{ID: 1, Tokens: 5000}), start)
+		p.Submit(newRequest("other", "small", start, Part{ID: 2, Tokens: 1000}), start)
 		So(p.Decide(start), ShouldHaveLength, 2)
 		p.share, p.shareAt = 2000, start
-		p.Submit(askOf("more", "flood", start, Part{ID: 3, Tokens: 100}), start)
-		p.Submit(askOf("within", "small", start, Part{ID: 4, Tokens: 100}), start)
+		p.Submit(newRequest("more", "flood", start, Part{ID: 3, Tokens: 100}), start)
+		p.Submit(newRequest("within", "small", start, Part{ID: 4, Tokens: 100}), start)
 		decided := p.Decide(start)
 		So(decided, ShouldHaveLength, 1)
-		So(decided[0].(Grant).Ask.ID, ShouldEqual, "within")
+		So(decided[0].(Grant).Request.ID, ShouldEqual, "within")
 	})
 	Convey("Where the engines do more than is stated, customers beyond their stated share divide the rest", t, func() {
 		used := func(stated float64) (refused int) {
@@ -224,82 +224,82 @@
 	})
 	Convey("What a router that is gone had is forgotten", t, func() {
 		p := newTestPool(1, 0)
-		ask := askOf("1", "a", start, Part{ID: 1, Tokens: 10})
-		ask.Router = 5
-		submit(p, ask, start)
+		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
+		req.Stream = 5
+		submit(p, req, start)
 		So(p.Running(), ShouldEqual, 1)
-		p.Forget(5, start)
+		p.DropStream(5, start)
 		So(p.Running(), ShouldEqual, 0)
 		So(p.engines["e0"].running, ShouldEqual, 0)
 	})
 	Convey("What came by one way is not forgotten with another way of the same box", t, func() {
 		p := newTestPool(1, 0)
-		first, second := askOf("1", "a", start, Part{ID: 1, Tokens: 10}), askOf("2", "a", start, Part{ID: 2, Tokens: 10})
-		first.Router, second.Router = 1, 2
+		first, second := newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), newRequest("2", "a", start, Part{ID: 2, Tokens: 10})
+		first.Stream, second.Stream = 1, 2
 		submit(p, first, start)
 		submit(p, second, start)
-		p.Forget(2, start)
+		p.DropStream(2, start)
 		So(p.Running(), ShouldEqual, 1)
 		So(p.grants["1"], ShouldNotBeNil)
 	})
 	Convey("What is told again by a new way stays when the old way ends, running or in line", t, func() {
 		p := newTestPool(1, 0)
-		running, waiting := askOf("1", "a", start, Part{ID: 1, Tokens: 10}), askOf("2", "a", start, Part{ID: 2, Tokens: 10})
-		running.Router, waiting.Router = 1, 1
+		running, waiting := newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), newRequest("2", "a", start, Part{ID: 2, Tokens: 10})
+		running.Stream, waiting.Stream = 1, 1
 		submit(p, running, start)
-		rest(p, "e0")
+		eject(p, "e0")
 		submit(p, waiting, start)
-		again, anew := askOf("1", "a", start, Part{ID: 1, Tokens: 10}), askOf("2", "a", start, Part{ID: 2, Tokens: 10})
-		again.Router, anew.Router = 2, 2
+		again, anew := newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), newRequest("2", "a", start, Part{ID: 2, Tokens: 10})
+		again.Stream, anew.Stream = 2, 2
 		p.Adopt(again, "e0", false, start)
 		p.Submit(anew, start)
-		p.Forget(1, start)
+		p.DropStream(1, start)
 		So(p.Running(), ShouldEqual, 1)
-		So(p.Waits("2"), ShouldBeTrue)
-		p.Forget(2, start)
+		So(p.IsWaiting("2"), ShouldBeTrue)
+		p.DropStream(2, start)
 		So(p.Running()+p.Waiting(), ShouldEqual, 0)
 	})
 	Convey("A request whose grant was lost on the way is granted again when it asks anew", t, func() {
 		p := newTestPool(1, 0)
-		submit(p, askOf("1", "a", start, Part{ID: 1, Tokens: 10}), start)
+		submit(p, newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), start)
 		later := start.Add(time.Second)
-		So(submit(p, askOf("1", "a", later, Part{ID: 1, Tokens: 10}), later), ShouldHaveLength, 1)
+		So(submit(p, newRequest("1", "a", later, Part{ID: 1, Tokens: 10}), later), ShouldHaveLength, 1)
 		So(p.engines["e0"].running, ShouldEqual, 1)
 	})
 	Convey("What another box granted is taken over once", t, func() {
 		p := newTestPool(1, 0)
-		ask := askOf("1", "a", start, Part{ID: 1, Tokens: 10})
-		p.Adopt(ask, "e0", false, start)
-		p.Adopt(ask, "e0", false, start)
+		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
+		p.Adopt(req, "e0", false, start)
+		p.Adopt(req, "e0", false, start)
 		So(p.Running(), ShouldEqual, 1)
 		p.End("1", Done{}, start)
 		So(p.engines["e0"].running, ShouldEqual, 0)
-		So(p.engines["e0"].own, ShouldEqual, 0)
-		So(p.engines["e0"].unread, ShouldBeEmpty)
+		So(p.engines["e0"].privateTokens, ShouldEqual, 0)
+		So(p.engines["e0"].pending, ShouldBeEmpty)
 	})
 }
 
 func TestTakingOver(t *testing.T) {
 	Convey("A box that takes over grants as the one before it", t, func() {
 		before, after := newTestPool(9, 0), newTestPool(9, 0)
-		home := submit(before, askOf("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
-		kept := before.Kept()
-		So(kept, ShouldResemble, []Kept{{Endpoint: home, Parts: []Part{shared(7)}}})
+		home := submit(before, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
+		kept := before.CachedParts()
+		So(kept, ShouldResemble, []CachedParts{{Endpoint: home, Parts: []Part{shared(7)}}})
 		for _, k := range kept {
-			after.Learn(k, start)
+			after.AddCachedParts(k, start)
 		}
-		again := submit(after, askOf("2", "a", start, shared(7), Part{ID: 101, Tokens: 100}), start)[0].(Grant)
+		again := submit(after, newRequest("2", "a", start, shared(7), Part{ID: 101, Tokens: 100}), start)[0].(Grant)
 		So(again.Endpoint, ShouldEqual, home)
-		So(again.Missing, ShouldEqual, 0)
+		So(again.MissingTokens, ShouldEqual, 0)
 	})
 	Convey("After a restart of all, parts are believed at their homes for a while", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
-		grant := submit(p, askOf("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant)
-		So(grant.Missing, ShouldEqual, 0)
-		later := start.Add(warmFor + time.Second)
-		grant = submit(p, askOf("2", "a", later, shared(8), Part{ID: 101, Tokens: 100}), later)[0].(Grant)
-		So(grant.Missing, ShouldEqual, 13000)
+		grant := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant)
+		So(grant.MissingTokens, ShouldEqual, 0)
+		later := start.Add(warmPeriod + time.Second)
+		grant = submit(p, newRequest("2", "a", later, shared(8), Part{ID: 101, Tokens: 100}), later)[0].(Grant)
+		So(grant.MissingTokens, ShouldEqual, 13000)
 	})
 	Convey("What is learnt never makes an engine keep more than its memory", t, func() {
 		p := newTestPool(1, 0)
@@ -307,49 +307,49 @@
 		for id := range uint64(100) {
 			parts = append(parts, shared(id))
 		}
-		p.Learn(Kept{Endpoint: "e0", Parts: parts}, start)
-		So(p.engines["e0"].keptTokens, ShouldBeLessThanOrEqualTo, 500000)
-		So(p.engines["e0"].byPart[0], ShouldNotBeNil)
+		p.AddCachedParts(CachedParts{Endpoint: "e0", Parts: parts}, start)
+		So(p.engines["e0"].cachedTokens, ShouldBeLessThanOrEqualTo, 500000)
+		So(p.engines["e0"].cacheIndex[0], ShouldNotBeNil)
 	})
 }
 
 func TestListedMemories(t *testing.T) {
-	ask := func(id string) *Ask { return askOf(id, "a", start, shared(7), Part{ID: 100, Tokens: 100}) }
+	req := func(id string) *Request { return newRequest(id, "a", start, shared(7), Part{ID: 100, Tokens: 100}) }
 	Convey("After a restart a part is believed to be at its first home", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
-		So(submit(p, ask("1"), start)[0].(Grant).Missing, ShouldEqual, 0)
+		So(submit(p, req("1"), start)[0].(Grant).MissingTokens, ShouldEqual, 0)
 	})
 	Convey("Once the engines have told what they keep, it is sent there", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
-		keeper := p.homes(ask("0"), start)[1].ID
-		for _, e := range p.inOrder {
-			kept := Kept{Endpoint: e.ID}
+		keeper := p.homes(req("0"), start)[1].ID
+		for _, e := range p.sorted {
+			kept := CachedParts{Endpoint: e.ID}
 			if e.ID == keeper {
 				kept.Parts = []Part{shared(7)}
 			}
-			p.List(kept, start)
+			p.ApplyCacheReport(kept, start)
 		}
-		grant := submit(p, ask("1"), start)[0].(Grant)
+		grant := submit(p, req("1"), start)[0].(Grant)
 		So(grant.Endpoint, ShouldEqual, keeper)
-		So(grant.Missing, ShouldEqual, 0)
+		So(grant.MissingTokens, ShouldEqual, 0)
 	})
 	Convey("What none of them keeps is known to be missing", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
-		p.homes(ask("0"), start)
-		for _, e := range p.inOrder {
-			p.List(Kept{Endpoint: e.ID}, start)
+		p.homes(req("0"), start)
+		for _, e := range p.sorted {
+			p.ApplyCacheReport(CachedParts{Endpoint: e.ID}, start)
 		}
-		So(submit(p, ask("1"), start)[0].(Grant).Missing, ShouldEqual, 13000)
+		So(submit(p, req("1"), start)[0].(Grant).MissingTokens, ShouldEqual, 13000)
 	})
 }
 
 func TestBrokenGrantsAreRefunded(t *testing.T) {
 	granted := func(begin bool) float64 {
 		p := newTestPool(9, 0)
-		submit(p, askOf("1", "a", start, Part{ID: 100, Tokens: 5000}), start)
+		submit(p, newRequest("1", "a", start, Part{ID: 100, Tokens: 5000}), start)
 		if begin {
 			p.Begin("1", start)
 		}
@@ -367,18 +367,18 @@
 func TestStandings(t *testing.T) {
 	Convey("Who got clearly less than another does not wait for idle engines only", t, func() {
 		p := newTestPool(1, 1000)
-		asked := func(customer string, granted float64) standing {
-			p.account(customer).asked.add(100000, start, p.Rules.Window)
+		asked := func(customer string, granted float64) shareLevel {
+			p.account(customer).requested.add(100000, start, p.Rules.Window)
 			p.account(customer).granted.add(granted, start, p.Rules.Window)
 			p.shareAt = time.Time{}
 			p.updateShare(start)
-			ask := askOf("1", customer, start, Part{ID: 1, Tokens: 100})
-			ask.cost = 100
-			return p.standing(p.account(customer), ask)
+			req := newRequest("1", customer, start, Part{ID: 1, Tokens: 100})
+			req.cost = 100
+			return p.shareLevel(p.account(customer), req)
 		}
-		So(asked("ward", 10000), ShouldEqual, farBeyond)
-		So(asked("camp", 7000), ShouldEqual, beyond)
-		So(asked("ward", 0), ShouldEqual, farBeyond)
-		So(asked("camp", 1000), ShouldEqual, farBeyond)
+		So(asked("ward", 10000), ShouldEqual, farOverShare)
+		So(asked("camp", 7000), ShouldEqual, overShare)
+		So(asked("ward", 0), ShouldEqual, farOverShare)
+		So(asked("camp", 1000), ShouldEqual, farOverShare)
 	})
 }
--- a/pkg/dispatch/ask.go
+++ b/pkg/dispatch/request.go
@@ -54,25 +54,25 @@
 }
 
 // Output is the number of tokens that the answer is expected to have.
-func (p *Prompt) Output() int {
+func (p *Prompt) ExpectedOutput() int {
 	if p.HintOutput > 0 {
 		return min(p.HintOutput, max(p.MaxOutput, 1))
 	}
-	return max(1, p.MaxOutput/hintlessPart)
+	return max(1, p.MaxOutput/defaultOutputDivisor)
 }
 
 // hintlessPart of the largest answer is expected where the caller gives no
 // estimate; answers are seldom as long as they may be.
-const hintlessPart = 2
+const defaultOutputDivisor = 2
 
 // Cost is the service of the request: a token read counts once, a token made
 // twice, as the pool's rate is stated.
 func (p *Prompt) Cost() float64 {
-	return float64(p.Tokens()) + 2*float64(p.Output())
+	return float64(p.Tokens()) + 2*float64(p.ExpectedOutput())
 }
 
 // Ask is a request that waits for an engine.
-type Ask struct {
+type Request struct {
 	ID       string
 	Customer string
 	// Route is the name of its route. Requests of one route are of one kind: each
@@ -81,17 +81,17 @@
 	Prompt
 	// Router numbers the way by which the request came. The verdict goes back by it,
 	// and Pool.Forget drops what came by it.
-	Router uint64
+	Stream uint64
 	// Box is the hash of the name of the box that asks, and Elsewhere what that box's requests
 	// of the customer got in other groups of the service.
-	Box uint64
-	Elsewhere
+	BoxHash uint64
+	OtherGroupUsage
 	// Arrived is when the router took it.
 	Arrived time.Time
 	// Aim is the time, from Arrived, within which its first event should come.
-	Aim time.Duration
+	LatencyTarget time.Duration
 	// Expires is when nobody waits for it any more.
-	Expires time.Time
+	Deadline time.Time
 	// Excluded are the endpoints that it must not go to again.
 	Excluded []string
 	// Zones are the availability zones that it may go to; none means any.
@@ -104,9 +104,9 @@
 	// cost is Prompt.Cost, once.
 	cost float64
 	// hopeless requests are refused unless they can go at the next look.
-	hopeless bool
+	refuseNow bool
 	// triedIn is the last round in which an engine was looked for.
-	triedIn uint64
+	triedRound uint64
 }
 
 // Decision is one of Grant and Turn.
@@ -116,30 +116,30 @@
 
 // Grant sends a request to an engine.
 type Grant struct {
-	Ask      *Ask
+	Request  *Request
 	Endpoint string
 	// Wait is the predicted time until the engine begins to read the prompt.
 	Wait time.Duration
 	// Read is the predicted time for reading it.
-	Read time.Duration
+	ReadTime time.Duration
 	// Missing are the tokens of shared parts that the engine has to read again.
-	Missing int
+	MissingTokens int
 }
 
 // Turn gives a request up: it is to come back later.
-type Turn struct {
-	Ask        *Ask
+type Refusal struct {
+	Request    *Request
 	RetryAfter time.Duration
 	// Over tells that the customer already has its share.
-	Over bool
+	OverShare bool
 	// Resting tells that all engines that may serve it rest or leave.
-	Resting bool
+	NoEligibleEngine bool
 	// Queued is how many requests waited in the pool.
 	Queued int
 }
 
-func (Grant) decision() {}
-func (Turn) decision()  {}
+func (Grant) decision()   {}
+func (Refusal) decision() {}
 
 // Outcome is how a granted request ended: one of Done, Unused, NotRun, Unreachable,
 // Broken and Ended.
--- a/pkg/dispatch/share.go
+++ b/pkg/dispatch/share.go
@@ -13,19 +13,19 @@
 	most := 0.0
 	for name, a := range p.accounts {
 		a.advance(now, p.Rules.Window)
-		a.elsewhere.advance(now, p.Rules.Window)
-		if a.asked.sum < 1 && a.waiting == 0 {
+		a.otherGroups.advance(now, p.Rules.Window)
+		if a.requested.sum < 1 && a.waiting == 0 {
 			delete(p.accounts, name)
 			continue
 		}
-		asked = append(asked, a.wanted())
-		most = max(most, a.got())
+		asked = append(asked, a.totalRequested())
+		most = max(most, a.totalGranted())
 	}
 	seconds := p.Rules.Window.Seconds() * float64(max(1, p.Groups)) / float64(max(1, p.Routers))
-	p.share = evenShare(asked, p.tokensPerSecond*seconds)
+	p.share = maxMinShare(asked, p.tokensPerSecond*seconds)
 	// What one customer got, others may have nearly as well, however little the engines
 	// are believed to do: see BehindPart.
-	p.realShare = max(evenShare(asked, p.capacity(now)*seconds), p.Rules.BehindPart*most)
+	p.measuredShare = max(maxMinShare(asked, p.capacity(now)*seconds), p.Rules.CatchUpFraction*most)
 }
 
 // capacity is what the engines can do in a second, in tokens as Prompt.Cost counts
@@ -35,8 +35,8 @@
 	p.granted.advance(now, p.Rules.Window)
 	p.read.advance(now, p.Rules.Window)
 	rate := 0.0
-	for _, e := range p.inOrder {
-		if e.usable(now) {
+	for _, e := range p.sorted {
+		if e.isUsable(now) {
 			rate += e.rate
 		}
 	}
@@ -45,76 +45,78 @@
 	if p.read.sum < fewTokens {
 		return p.tokensPerSecond
 	}
-	return max(p.tokensPerSecond, rate*p.Rules.ReadPart*p.granted.sum/p.read.sum)
+	return max(p.tokensPerSecond, rate*p.Rules.ReadFraction*p.granted.sum/p.read.sum)
 }
 
 // over tells whether a request is beyond its customer's share.
-func (p *Pool) over(a *account, ask *Ask) bool {
-	return p.tokensPerSecond > 0 && a.got()+ask.cost/2 > p.share
+func (p *Pool) isOverShare(a *account, req *Request) bool {
+	return p.tokensPerSecond > 0 && a.totalGranted()+req.cost/2 > p.share
 }
 
 // backlog is the longest predicted wait at an engine that gets new work.
-func (p *Pool) backlog() time.Duration { return part(p.shortestAim(), p.Rules.BacklogPart) }
+func (p *Pool) maxBacklog() time.Duration {
+	return fraction(p.shortestTarget(), p.Rules.BacklogFraction)
+}
 
-func part(whole time.Duration, factor float64) time.Duration {
+func fraction(whole time.Duration, factor float64) time.Duration {
 	return time.Duration(factor * float64(whole))
 }
 
 // shortestAim is that of the requests of the last one or two windows.
-func (p *Pool) shortestAim() time.Duration { return min(p.aims.newest, p.aims.before) }
+func (p *Pool) shortestTarget() time.Duration { return min(p.targets.current, p.targets.previous) }
 
 // aims are the shortest aims asked for in the window that began last, and in the one
 // before; noAim where there was none.
-type aims struct {
-	newest, before time.Duration
-	since          time.Time
+type latencyTargets struct {
+	current, previous time.Duration
+	since             time.Time
 }
 
 // noAim is longer than any.
-const noAim = time.Hour
+const noTarget = time.Hour
 
-func (a *aims) note(aim time.Duration, now time.Time, window time.Duration) {
+func (a *latencyTargets) record(aim time.Duration, now time.Time, window time.Duration) {
 	switch passed := now.Sub(a.since); {
 	case passed >= 2*window:
-		*a = aims{newest: noAim, before: noAim, since: now}
+		*a = latencyTargets{current: noTarget, previous: noTarget, since: now}
 	case passed >= window:
-		*a = aims{newest: noAim, before: a.newest, since: now}
+		*a = latencyTargets{current: noTarget, previous: a.current, since: now}
 	}
-	a.newest = min(a.newest, aim)
+	a.current = min(a.current, aim)
 }
 
 // standing is how far a customer's request is within or beyond its share.
-type standing int
+type shareLevel int
 
 const (
 	// within its share, a customer's requests wait for nobody beyond it.
-	within standing = iota
+	withinShare shareLevel = iota
 	// beyond it, they go where they delay little. So do those of every customer that got
 	// clearly less than the most served one: of two that get idle engines only, the one
 	// with the longer line finds them more often, whichever is first in turn.
-	beyond
+	overShare
 	// farBeyond it, they get idle engines only.
-	farBeyond
+	farOverShare
 )
 
-func (p *Pool) standing(a *account, ask *Ask) standing {
+func (p *Pool) shareLevel(a *account, req *Request) shareLevel {
 	switch {
-	case !p.over(a, ask):
-		return within
-	case a.got()+ask.cost/2 <= p.realShare:
-		return beyond
+	case !p.isOverShare(a, req):
+		return withinShare
+	case a.totalGranted()+req.cost/2 <= p.measuredShare:
+		return overShare
 	default:
-		return farBeyond
+		return farOverShare
 	}
 }
 
 // hasRoom tells whether an engine that is seen so may get a request.
-func (p *Pool) hasRoom(seen view, of standing) bool {
-	switch of {
-	case within:
-		return seen.wait <= p.backlog()
-	case beyond:
-		return seen.wait <= part(p.shortestAim(), p.Rules.BeyondPart)
+func (p *Pool) hasRoom(seen engineSnapshot, level shareLevel) bool {
+	switch level {
+	case withinShare:
+		return seen.wait <= p.maxBacklog()
+	case overShare:
+		return seen.wait <= fraction(p.shortestTarget(), p.Rules.OverShareBacklogFraction)
 	default:
 		return seen.idle
 	}
--- a/pkg/dispatch/simulation_test.go
+++ b/pkg/dispatch/simulation_test.go
@@ -18,11 +18,11 @@
 	pool *Pool
 	// readRate is in tokens a second and engine; first goes from the end of reading
 	// to the first token; step is between two tokens of an answer.
-	readRate float64
-	first    time.Duration
-	step     time.Duration
+	readRate        float64
+	firstTokenDelay time.Duration
+	tokenInterval   time.Duration
 	// kept parts cost no reading.
-	kept map[string]map[uint64]bool
+	cached map[string]map[uint64]bool
 	// freeAt is when each engine has read all that it was given.
 	freeAt map[string]time.Time
 	events eventHeap
@@ -31,14 +31,14 @@
 
 	tallies map[tallyKey]*tally
 	// elsewhere is what a customer gets in other groups; nil means that there are none.
-	elsewhere func(customer string) Elsewhere
+	otherGroups func(customer string) OtherGroupUsage
 }
 
 // tell adds what a customer asked for and got here of late.
-func (s *simulation) tell(customer string, told *Elsewhere) {
+func (s *simulation) addUsage(customer string, told *OtherGroupUsage) {
 	if a := s.pool.accounts[customer]; a != nil {
 		a.advance(s.now, s.pool.Rules.Window)
-		told.Asked += a.asked.sum
+		told.Requested += a.requested.sum
 		told.Granted += a.granted.sum
 	}
 }
@@ -47,9 +47,9 @@
 
 // tally counts what became of requests.
 type tally struct {
-	asked, inAim, late, refused int
-	askedTokens, grantedTokens  float64
-	heldInVain                  time.Duration
+	requested, inTime, late, refused int
+	requestedTokens, grantedTokens   float64
+	refusedWait                      time.Duration
 }
 
 type simEvent struct {
@@ -73,22 +73,22 @@
 type source struct {
 	customer, route string
 	perSecond       float64
-	aim             time.Duration
+	latencyTarget   time.Duration
 	shared, own     int
-	things          int
+	sharedParts     int
 	output          int
 }
 
 func newSimulation(engines int, tokensPerSecond, readRate float64) *simulation {
 	s := &simulation{
-		readRate: readRate,
-		first:    50 * time.Millisecond,
-		step:     10 * time.Millisecond,
-		kept:     map[string]map[uint64]bool{},
-		freeAt:   map[string]time.Time{},
-		rand:     rand.New(rand.NewPCG(3, 4)),
-		now:      start,
-		tallies:  map[tallyKey]*tally{},
+		readRate:        readRate,
+		firstTokenDelay: 50 * time.Millisecond,
+		tokenInterval:   10 * time.Millisecond,
+		cached:          map[string]map[uint64]bool{},
+		freeAt:          map[string]time.Time{},
+		rand:            rand.New(rand.NewPCG(3, 4)),
+		now:             start,
+		tallies:         map[tallyKey]*tally{},
 	}
 	s.pool = &Pool{Rules: DefaultRules(), Rand: rand.New(rand.NewPCG(1, 2))}
 	s.pool.Configure(route.Service{Name: "llm", Engine: &route.Engine{Slots: 128, CacheTokens: 1000000}}, tokensPerSecond)
@@ -96,7 +96,7 @@
 	for i := range engines {
 		id := fmt.Sprintf("e%d", i)
 		endpoints = append(endpoints, route.Endpoint{ID: id, Service: "llm", Slots: 128})
-		s.kept[id] = map[uint64]bool{}
+		s.cached[id] = map[uint64]bool{}
 	}
 	s.pool.SetEndpoints(endpoints, s.now)
 	return s
@@ -121,8 +121,8 @@
 		from := &sources[i]
 		for when := s.next(s.now, from); when.Before(end); when = s.next(when, from) {
 			number++
-			ask := s.askOf(from, number, when)
-			s.at(when, func() { s.arrive(ask) })
+			req := s.newRequest(from, number, when)
+			s.at(when, func() { s.arrive(req) })
 		}
 	}
 	for tick := s.now; tick.Before(end.Add(time.Second)); tick = tick.Add(4 * time.Millisecond) {
@@ -143,40 +143,40 @@
 	return from.Add(time.Duration(s.rand.ExpFloat64() / of.perSecond * float64(time.Second)))
 }
 
-func (s *simulation) askOf(from *source, number int, now time.Time) *Ask {
+func (s *simulation) newRequest(from *source, number int, now time.Time) *Request {
 	var parts []Part
 	if from.shared > 0 {
-		thing := 1 + s.rand.IntN(max(1, from.things))
+		thing := 1 + s.rand.IntN(max(1, from.sharedParts))
 		parts = append(parts, Part{ID: uint64(thing) + uint64(from.shared)<<32, Tokens: from.shared})
 	}
 	parts = append(parts, Part{ID: uint64(number) << 40, Tokens: from.own})
-	return &Ask{
-		ID:       fmt.Sprint(number),
-		Customer: from.customer,
-		Route:    from.route,
-		Prompt:   Prompt{Parts: parts, MaxOutput: 2 * from.output, HintOutput: from.output},
-		Arrived:  now,
-		Aim:      from.aim,
-		Expires:  now.Add(15 * time.Second),
+	return &Request{
+		ID:            fmt.Sprint(number),
+		Customer:      from.customer,
+		Route:         from.route,
+		Prompt:        Prompt{Parts: parts, MaxOutput: 2 * from.output, HintOutput: from.output},
+		Arrived:       now,
+		LatencyTarget: from.latencyTarget,
+		Deadline:      now.Add(15 * time.Second),
 	}
 }
 
-func (s *simulation) tally(ask *Ask) *tally {
-	key := tallyKey{ask.Customer, ask.Route}
+func (s *simulation) tally(req *Request) *tally {
+	key := tallyKey{req.Customer, req.Route}
 	if s.tallies[key] == nil {
 		s.tallies[key] = &tally{}
 	}
 	return s.tallies[key]
 }
 
-func (s *simulation) arrive(ask *Ask) {
-	if s.elsewhere != nil {
-		ask.Elsewhere = s.elsewhere(ask.Customer)
+func (s *simulation) arrive(req *Request) {
+	if s.otherGroups != nil {
+		req.OtherGroupUsage = s.otherGroups(req.Customer)
 	}
-	t := s.tally(ask)
-	t.asked++
-	t.askedTokens += ask.Cost()
-	s.pool.Submit(ask, s.now)
+	t := s.tally(req)
+	t.requested++
+	t.requestedTokens += req.Cost()
+	s.pool.Submit(req, s.now)
 }
 
 func (s *simulation) decide() {
@@ -184,29 +184,29 @@
 		switch d := d.(type) {
 		case Grant:
 			s.run(d)
-		case Turn:
-			t := s.tally(d.Ask)
+		case Refusal:
+			t := s.tally(d.Request)
 			t.refused++
-			t.heldInVain += s.now.Sub(d.Ask.Arrived)
+			t.refusedWait += s.now.Sub(d.Request.Arrived)
 		}
 	}
 }
 
 func (s *simulation) run(g Grant) {
-	s.tally(g.Ask).grantedTokens += g.Ask.Cost()
+	s.tally(g.Request).grantedTokens += g.Request.Cost()
 	begins := s.read(g)
-	s.at(begins, func() { s.begin(g.Ask) })
-	s.at(begins.Add(time.Duration(g.Ask.Output())*s.step), func() { s.pool.End(g.Ask.ID, Done{}, s.now) })
+	s.at(begins, func() { s.begin(g.Request) })
+	s.at(begins.Add(time.Duration(g.Request.ExpectedOutput())*s.tokenInterval), func() { s.pool.End(g.Request.ID, Done{}, s.now) })
 }
 
 // read has an engine read a prompt after those that it was given before, and returns
 // when the first token comes.
 func (s *simulation) read(g Grant) (begins time.Time) {
 	tokens := 0
-	for _, part := range g.Ask.Parts {
-		if !s.kept[g.Endpoint][part.ID] {
+	for _, part := range g.Request.Parts {
+		if !s.cached[g.Endpoint][part.ID] {
 			tokens += part.Tokens
-			s.kept[g.Endpoint][part.ID] = true
+			s.cached[g.Endpoint][part.ID] = true
 		}
 	}
 	from := s.now
@@ -215,14 +215,14 @@
 	}
 	reading := time.Duration(float64(tokens) / s.readRate * float64(time.Second))
 	s.freeAt[g.Endpoint] = from.Add(reading)
-	return from.Add(reading + s.first)
+	return from.Add(reading + s.firstTokenDelay)
 }
 
-func (s *simulation) begin(ask *Ask) {
-	s.pool.Begin(ask.ID, s.now)
-	t := s.tally(ask)
-	if s.now.Sub(ask.Arrived) <= ask.Aim {
-		t.inAim++
+func (s *simulation) begin(req *Request) {
+	s.pool.Begin(req.ID, s.now)
+	t := s.tally(req)
+	if s.now.Sub(req.Arrived) <= req.LatencyTarget {
+		t.inTime++
 	} else {
 		t.late++
 	}
@@ -231,9 +231,9 @@
 // The requests of a large customer, as its sheet tells them.
 func largeCustomer(name string, factor float64) []source {
 	return []source{
-		{customer: name, route: "draft", perSecond: 10 * factor, aim: 600 * time.Millisecond, shared: 5400, own: 6600, things: 30, output: 380},
-		{customer: name, route: "query", perSecond: 10 * factor, aim: 300 * time.Millisecond, shared: 200, own: 630, things: 20, output: 290},
-		{customer: name, route: "tag", perSecond: 14 * factor, aim: 400 * time.Millisecond, shared: 570, own: 1800, things: 40, output: 20},
+		{customer: name, route: "draft", perSecond: 10 * factor, latencyTarget: 600 * time.Millisecond, shared: 5400, own: 6600, sharedParts: 30, output: 380},
+		{customer: name, route: "query", perSecond: 10 * factor, latencyTarget: 300 * time.Millisecond, shared: 200, own: 630, sharedParts: 20, output: 290},
+		{customer: name, route: "tag", perSecond: 14 * factor, latencyTarget: 400 * time.Millisecond, shared: 570, own: 1800, sharedParts: 40, output: 20},
 	}
 }
 
@@ -245,13 +245,13 @@
 		least, most := 1.0, 0.0
 		for _, route := range []string{"draft", "query", "tag"} {
 			one := s.tallies[tallyKey{"flood", route}]
-			part := one.grantedTokens / one.askedTokens
+			part := one.grantedTokens / one.requestedTokens
 			least, most = min(least, part), max(most, part)
 		}
 		So(least, ShouldBeGreaterThan, 0.6*most)
 		for _, route := range []string{"draft", "query", "tag"} {
 			one := s.tallies[tallyKey{"other", route}]
-			So(one.inAim, ShouldBeGreaterThan, one.asked*9/10)
+			So(one.inTime, ShouldBeGreaterThan, one.requested*9/10)
 		}
 	})
 }
@@ -264,8 +264,8 @@
 		for key, one := range s.tallies {
 			if key.customer == "flood" {
 				refused += one.refused
-				held += one.heldInVain
-				served += one.inAim
+				held += one.refusedWait
+				served += one.inTime
 			}
 		}
 		So(refused, ShouldBeGreaterThan, 5000)
@@ -280,18 +280,18 @@
 	served := func(factor float64) (inAim, refused float64) {
 		s := newSimulation(9, 430000*factor, 110000*factor)
 		scaled := func(length time.Duration) time.Duration { return time.Duration(float64(length) / factor) }
-		s.first, s.step = scaled(s.first), scaled(s.step)
+		s.firstTokenDelay, s.tokenInterval = scaled(s.firstTokenDelay), scaled(s.tokenInterval)
 		s.pool.Rules.Window = scaled(s.pool.Rules.Window)
 		sources := append(largeCustomer("large", 6), largeCustomer("other", 1)...)
 		for i := range sources {
 			sources[i].perSecond *= factor
-			sources[i].aim = scaled(sources[i].aim)
+			sources[i].latencyTarget = scaled(sources[i].latencyTarget)
 		}
 		s.play(scaled(20*time.Second), sources...)
 		asked := 0
 		for _, one := range s.tallies {
-			asked += one.asked
-			inAim += float64(one.inAim)
+			asked += one.requested
+			inAim += float64(one.inTime)
 			refused += float64(one.refused)
 		}
 		return inAim / float64(asked), refused / float64(asked)
@@ -308,12 +308,12 @@
 
 func TestAims(t *testing.T) {
 	Convey("The shortest aim of the last two windows counts", t, func() {
-		var a aims
+		var a latencyTargets
 		p := &Pool{}
 		note := func(after, aim time.Duration) time.Duration {
-			a.note(aim, start.Add(after), 4*time.Second)
-			p.aims = a
-			return p.shortestAim()
+			a.record(aim, start.Add(after), 4*time.Second)
+			p.targets = a
+			return p.shortestTarget()
 		}
 		So(note(0, 600*time.Millisecond), ShouldEqual, 600*time.Millisecond)
 		So(note(time.Second, 300*time.Millisecond), ShouldEqual, 300*time.Millisecond)
@@ -324,10 +324,10 @@
 	Convey("An engine that takes work waits no longer than half of it", t, func() {
 		room := func(aim time.Duration) bool {
 			p := newTestPool(1, 0)
-			ask := askOf("1", "a", start, Part{ID: 1, Tokens: 10})
-			ask.Aim = aim
-			p.book(askOf("before", "b", start, Part{ID: 2, Tokens: firstRate / 5}), p.engines["e0"], start)
-			return len(submit(p, ask, start)) > 0
+			req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
+			req.LatencyTarget = aim
+			p.book(newRequest("before", "b", start, Part{ID: 2, Tokens: initialRate / 5}), p.engines["e0"], start)
+			return len(submit(p, req, start)) > 0
 		}
 		So(room(300*time.Millisecond), ShouldBeFalse)
 		So(room(600*time.Millisecond), ShouldBeTrue)
--- a/pkg/dispatch/tally.go
+++ b/pkg/dispatch/tally.go
@@ -11,21 +11,21 @@
 // began.
 type Tally struct {
 	// Asked was put in line, asked for by a router for the first time.
-	Asked float64
+	Requested float64
 	// Hopeless was refused on arrival, as too much of its kind waited before it.
-	Hopeless float64
+	RefusedOnArrival float64
 	// Turned was refused after it had waited, and Withdrawn left the line by itself.
-	Turned, Withdrawn float64
+	RefusedAfterWait, Withdrawn float64
 	// Granted was given an engine.
 	Granted float64
 	// Begun had its first event, and Answered ended after that without a failure.
 	Begun, Answered float64
 	// GivenBack was granted and not used, or broke before it began.
-	GivenBack float64
+	Refunded float64
 }
 
 // Refused is what was asked for and not granted.
-func (t *Tally) Refused() float64 { return t.Hopeless + t.Turned }
+func (t *Tally) Refused() float64 { return t.RefusedOnArrival + t.RefusedAfterWait }
 
 // CustomerTally is a customer's.
 type CustomerTally struct {
@@ -34,7 +34,7 @@
 }
 
 // tally is the customer's current one.
-func (p *Pool) tally(customer string) *Tally {
+func (p *Pool) tallyFor(customer string) *Tally {
 	t := p.tallies[customer]
 	if t == nil {
 		t = &Tally{}
@@ -52,7 +52,7 @@
 	}
 	clear(p.tallies)
 	slices.SortFunc(tallies, func(a, b CustomerTally) int {
-		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Customer, b.Customer))
+		return cmp.Or(cmp.Compare(b.Requested, a.Requested), cmp.Compare(a.Customer, b.Customer))
 	})
 	return tallies
 }
--- a/pkg/dispatch/tally_test.go
+++ b/pkg/dispatch/tally_test.go
@@ -10,39 +10,39 @@
 func TestTallies(t *testing.T) {
 	const own, output = 1000, 100
 	cost := float64(own + 2*output)
-	ask := func(id, customer string) *Ask {
-		a := askOf(id, customer, start, Part{ID: uint64(len(id)) + uint64(id[0])<<8, Tokens: own})
+	req := func(id, customer string) *Request {
+		a := newRequest(id, customer, start, Part{ID: uint64(len(id)) + uint64(id[0])<<8, Tokens: own})
 		a.MaxOutput, a.HintOutput = output, output
 		return a
 	}
 	Convey("What becomes of each request is counted once, and the count starts anew when taken", t, func() {
 		p := newTestPool(1, 0)
-		So(submit(p, ask("a", "ward"), start), ShouldHaveLength, 1)
-		So(submit(p, ask("b", "ward"), start), ShouldHaveLength, 1)
+		So(submit(p, req("a", "ward"), start), ShouldHaveLength, 1)
+		So(submit(p, req("b", "ward"), start), ShouldHaveLength, 1)
 		p.Begin("a", start)
 		p.Begin("a", start)
 		p.End("a", Done{}, start)
 		p.End("b", Unused{}, start)
 		So(p.TakeTallies(), ShouldResemble, []CustomerTally{{"ward", Tally{
-			Asked: 2 * cost, Granted: 2 * cost, Begun: cost, Answered: cost, GivenBack: cost,
+			Requested: 2 * cost, Granted: 2 * cost, Begun: cost, Answered: cost, Refunded: cost,
 		}}})
 		So(p.TakeTallies(), ShouldBeEmpty)
 	})
 	Convey("What is not granted is counted by how it left the line", t, func() {
 		p := newTestPool(1, 0)
-		rest(p, "e0")
-		p.Submit(ask("a", "ward"), start)
-		p.Submit(ask("b", "camp"), start)
+		eject(p, "e0")
+		p.Submit(req("a", "ward"), start)
+		p.Submit(req("b", "camp"), start)
 		So(p.Withdraw("b"), ShouldBeTrue)
 		So(p.Decide(start.Add(time.Minute)), ShouldHaveLength, 1)
 		So(p.TakeTallies(), ShouldResemble, []CustomerTally{
-			{"camp", Tally{Asked: cost, Withdrawn: cost}},
-			{"ward", Tally{Asked: cost, Turned: cost}},
+			{"camp", Tally{Requested: cost, Withdrawn: cost}},
+			{"ward", Tally{Requested: cost, RefusedAfterWait: cost}},
 		})
 	})
 	Convey("What another pool granted is not counted here", t, func() {
 		p := newTestPool(1, 0)
-		p.Adopt(ask("a", "ward"), "e0", false, start)
+		p.Adopt(req("a", "ward"), "e0", false, start)
 		p.Begin("a", start)
 		p.End("a", Done{}, start)
 		So(p.TakeTallies(), ShouldBeEmpty)
--- a/pkg/gateway/admission.go
+++ b/pkg/gateway/admission.go
@@ -19,10 +19,10 @@
 // wait. It costs a third less of the router's own work than refusing it after its caller's
 // connection is watched (profile of refusals at one router on loopback), and a router
 // whose processor time is used up by refusals of one customer asks for nothing.
-func (s *scheduler) refuseEarly(ask *dispatch.Ask) (v verdict, ok bool) {
+func (s *scheduler) refuseEarly(ask *dispatch.Request) (v verdict, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
-	why := s.floods.Judge(ask.Customer, s.gateway.load.isBusy(now), now)
+	why := s.floods.Check(ask.Customer, s.gateway.load.isBusy(now), now)
 	s.mu.Unlock()
 	if why == dispatch.Admitted {
 		return v, false
@@ -42,14 +42,14 @@
 const otherBoxRetryDelay = 100 * time.Millisecond
 
 // turnHere refuses a request without asking.
-func (s *scheduler) refuseLocally(why dispatch.Admission, ask *dispatch.Ask) verdict {
+func (s *scheduler) refuseLocally(why dispatch.Admission, ask *dispatch.Request) verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recordLocalRefusal(ask.Customer, ask.Cost(), why)
-	v := verdict{overShare: why == dispatch.BeyondShare, waiting: dispatch.FloodMost, decidedBy: s.gateway.Settings.Name}
+	v := verdict{overShare: why == dispatch.RefusedOverShare, waiting: dispatch.MaxWaitingOverShare, decidedBy: s.gateway.Settings.Name}
 	if v.overShare {
 		// What waits here is decided in that time, and no sooner is there room for more.
-		wait := time.Duration(s.pool.Rules.Hold * float64(ask.Aim))
+		wait := time.Duration(s.pool.Rules.MaxWaitFraction * float64(ask.LatencyTarget))
 		v.retryAfter = wait + rand.N(wait+1)
 		return v
 	}
--- a/pkg/gateway/cold.go
+++ b/pkg/gateway/cold.go
@@ -48,7 +48,7 @@
 	if now.Before(s.cold.until) {
 		return s.cold.fraction
 	}
-	if !s.pool.BoundsCold() {
+	if !s.pool.HasColdLimit() {
 		return 1
 	}
 	asking := map[string]bool{}
--- a/pkg/gateway/granted.go
+++ b/pkg/gateway/granted.go
@@ -9,14 +9,14 @@
 
 // running is a granted request of this box.
 type grantedRequest struct {
-	ask      *dispatch.Ask
+	ask      *dispatch.Request
 	endpoint string
 	begun    bool
 }
 
 // accept notes a grant, also in this box's own pool and at the box that
 // dispatches, so that both know what runs.
-func (s *scheduler) recordGrant(ask *dispatch.Ask, v verdict, from *remote) verdict {
+func (s *scheduler) recordGrant(ask *dispatch.Request, v verdict, from *remote) verdict {
 	if v.endpoint == "" {
 		return v
 	}
@@ -83,7 +83,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.pool.Rest(ownStream, rest, now)
+	s.pool.SetBackoff(ownStream, rest, now)
 	if s.remote != nil && s.has(rest.Endpoint) {
 		s.remote.stream.Send(encodeRest(rest, now))
 	}
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -11,7 +11,7 @@
 )
 
 // askMessage describes a request that waits or, with an endpoint, runs there.
-func encodeAsk(ask *dispatch.Ask, endpoint string, begun bool) *peerpb.Call {
+func encodeAsk(ask *dispatch.Request, endpoint string, begun bool) *peerpb.Call {
 	now := time.Now()
 	message := &peerpb.Ask{
 		ID:         ask.ID,
@@ -20,8 +20,8 @@
 		MaxOutput:  uint32(ask.MaxOutput),
 		HintOutput: uint32(ask.HintOutput),
 		Age:        now.Sub(ask.Arrived).Microseconds(),
-		Aim:        ask.Aim.Microseconds(),
-		Remaining:  ask.Expires.Sub(now).Microseconds(),
+		Aim:        ask.LatencyTarget.Microseconds(),
+		Remaining:  ask.Deadline.Sub(now).Microseconds(),
 		Excluded:   ask.Excluded,
 		Endpoint:   endpoint,
 		Begun:      begun,
@@ -30,9 +30,9 @@
 		Release:       ask.Releases.Version,
 		OtherReleases: ask.Releases.Others,
 
-		Box:              ask.Box,
-		AskedElsewhere:   uint64(ask.Elsewhere.Asked),
-		GrantedElsewhere: uint64(ask.Elsewhere.Granted),
+		Box:              ask.BoxHash,
+		AskedElsewhere:   uint64(ask.OtherGroupUsage.Requested),
+		GrantedElsewhere: uint64(ask.OtherGroupUsage.Granted),
 	}
 	if !ask.Fingerprint.IsZero() {
 		message.Fingerprint = ask.Fingerprint[:]
@@ -45,8 +45,8 @@
 }
 
 // askOf is the reverse of askMessage.
-func decodeAsk(message *peerpb.Ask, router uint64, now time.Time) *dispatch.Ask {
-	ask := &dispatch.Ask{
+func decodeAsk(message *peerpb.Ask, router uint64, now time.Time) *dispatch.Request {
+	ask := &dispatch.Request{
 		ID:       message.ID,
 		Customer: message.Customer,
 		Route:    message.Route,
@@ -54,17 +54,17 @@
 			MaxOutput:  int(message.MaxOutput),
 			HintOutput: int(message.HintOutput),
 		},
-		Router:   router,
-		Arrived:  now.Add(-time.Duration(message.Age) * time.Microsecond),
-		Aim:      time.Duration(message.Aim) * time.Microsecond,
-		Expires:  now.Add(time.Duration(message.Remaining) * time.Microsecond),
-		Excluded: message.Excluded,
-		Zones:    message.Zones,
-		Releases: rollout.Side{Version: message.Release, Others: message.OtherReleases},
-		Box:      message.Box,
-
-		Elsewhere:   dispatch.Elsewhere{Asked: float64(message.AskedElsewhere), Granted: float64(message.GrantedElsewhere)},
-		Fingerprint: peer.DecodeFingerprint(message.Fingerprint),
+		Stream:        router,
+		Arrived:       now.Add(-time.Duration(message.Age) * time.Microsecond),
+		LatencyTarget: time.Duration(message.Aim) * time.Microsecond,
+		Deadline:      now.Add(time.Duration(message.Remaining) * time.Microsecond),
+		Excluded:      message.Excluded,
+		Zones:         message.Zones,
+		Releases:      rollout.Side{Version: message.Release, Others: message.OtherReleases},
+		BoxHash:       message.Box,
+
+		OtherGroupUsage: dispatch.OtherGroupUsage{Requested: float64(message.AskedElsewhere), Granted: float64(message.GrantedElsewhere)},
+		Fingerprint:     peer.DecodeFingerprint(message.Fingerprint),
 	}
 	ask.Parts = decodeParts(message.PartIDs, message.PartTokens)
 	return ask
@@ -79,7 +79,7 @@
 	return parts
 }
 
-func encodeKept(kept dispatch.Kept) *peerpb.Call {
+func encodeKept(kept dispatch.CachedParts) *peerpb.Call {
 	message := &peerpb.Kept{Endpoint: kept.Endpoint, Born: kept.Born}
 	for _, part := range kept.Parts {
 		message.PartIDs = append(message.PartIDs, part.ID)
@@ -106,7 +106,7 @@
 	}
 }
 
-func encodeServed(s dispatch.Service) *peerpb.Call {
+func encodeServed(s dispatch.GrantTotal) *peerpb.Call {
 	return &peerpb.Call{Kind: &peerpb.Call_Served{Served: &peerpb.Served{
 		Customer: s.Customer,
 		Route:    s.Route,
--- a/pkg/gateway/model.go
+++ b/pkg/gateway/model.go
@@ -120,22 +120,22 @@
 	return c.refuseTurned(v)
 }
 
-func (c *call) dispatchRequest() *dispatch.Ask {
+func (c *call) dispatchRequest() *dispatch.Request {
 	aim := c.route.Aim
 	if aim <= 0 {
 		aim = defaultLatencyTarget
 	}
-	return &dispatch.Ask{
-		ID:       c.ID,
-		Customer: c.customer,
-		Route:    c.route.Name,
-		Prompt:   *c.Prompt,
-		Arrived:  c.arrived,
-		Aim:      aim,
-		Expires:  time.Now().Add(c.remaining()),
-		Excluded: c.excluded,
-		Zones:    c.zones,
-		Releases: c.gateway.rollouts.pickSide(c.service.Name),
+	return &dispatch.Request{
+		ID:            c.ID,
+		Customer:      c.customer,
+		Route:         c.route.Name,
+		Prompt:        *c.Prompt,
+		Arrived:       c.arrived,
+		LatencyTarget: aim,
+		Deadline:      time.Now().Add(c.remaining()),
+		Excluded:      c.excluded,
+		Zones:         c.zones,
+		Releases:      c.gateway.rollouts.pickSide(c.service.Name),
 
 		Fingerprint: c.fingerprint,
 	}
--- a/pkg/gateway/pool.go
+++ b/pkg/gateway/pool.go
@@ -191,7 +191,7 @@
 }
 
 // group is where a prompt goes.
-func (p *pool) groupFor(req *dispatch.Ask) *scheduler {
+func (p *pool) groupFor(req *dispatch.Request) *scheduler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.mismatchSince.IsZero() {
@@ -199,7 +199,7 @@
 			p.repartition(count)
 		}
 	}
-	return p.ensureGroup(partition.GroupOf(req.PlaceKey(), p.weights))
+	return p.ensureGroup(partition.GroupOf(req.PlacementKey(), p.weights))
 }
 
 // rest has the group of an engine know that it wants nothing from this box for a while.
--- a/pkg/gateway/promptcache.go
+++ b/pkg/gateway/promptcache.go
@@ -90,7 +90,7 @@
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.pool.List(kept, time.Now())
+			s.pool.ApplyCacheReport(kept, time.Now())
 			return nil
 		})
 	}
@@ -102,7 +102,7 @@
 }
 
 // listMemory asks one engine what it keeps.
-func (g *Gateway) listPromptCache(engine route.Endpoint) (kept dispatch.Kept, err error) {
+func (g *Gateway) listPromptCache(engine route.Endpoint) (kept dispatch.CachedParts, err error) {
 	defer func() { err = trace.Wrap(err, "asking engine %s what it keeps", engine.ID) }()
 	ctx, cancel := context.WithTimeout(g.workContext, listTimeout)
 	defer cancel()
--- a/pkg/gateway/remote.go
+++ b/pkg/gateway/remote.go
@@ -27,7 +27,7 @@
 var errAbsentEngines = errors.New("the box that dispatches grants engines that are not there")
 
 // askRemote has another box decide. An error means that it is of no use now.
-func (s *scheduler) askRemote(ctx context.Context, req *dispatch.Ask, box string) (verdict, error) {
+func (s *scheduler) askRemote(ctx context.Context, req *dispatch.Request, box string) (verdict, error) {
 	r, err := s.connect(ctx, box)
 	if err != nil {
 		return verdict{}, err
@@ -36,7 +36,7 @@
 	s.mu.Lock()
 	s.pending[req.ID] = p
 	sent := r.stream.Send(encodeAsk(req, "", false))
-	timeout := s.responses.timeout(req.Aim)
+	timeout := s.responses.timeout(req.LatencyTarget)
 	if r.respondedAt.IsZero() {
 		timeout = maxResponseTimeout
 	}
@@ -53,7 +53,7 @@
 		case v := <-p.decided:
 			return s.recordGrant(req, v, r), nil
 		case <-p.queued:
-			hold := time.Duration(s.pool.Rules.Hold * float64(req.Aim))
+			hold := time.Duration(s.pool.Rules.MaxWaitFraction * float64(req.LatencyTarget))
 			due = time.Now().Add(hold + verdictSlack + timeout)
 			timer.Reset(time.Until(due))
 		case <-r.ended:
@@ -221,16 +221,16 @@
 	again := start != 0 && start == s.syncedStart
 	s.syncedStart = start
 	if !again || s.persistent {
-		for _, kept := range s.pool.Kept() {
+		for _, kept := range s.pool.CachedParts() {
 			r.stream.Send(encodeKept(kept))
 		}
 	}
-	running := make([]*dispatch.Ask, 0, len(s.running))
+	running := make([]*dispatch.Request, 0, len(s.running))
 	for _, one := range s.running {
 		r.stream.Send(encodeAsk(one.ask, one.endpoint, one.begun))
 		running = append(running, one.ask)
 	}
-	for _, served := range s.granted.Told(running, now) {
+	for _, served := range s.granted.Report(running, now) {
 		r.stream.Send(encodeServed(served))
 	}
 	s.log.Info("another box dispatches",
@@ -341,7 +341,7 @@
 	defer s.mu.Unlock()
 	delete(s.streams, streamID)
 	s.leftAt[from.Box] = time.Now()
-	s.pool.Forget(streamID, time.Now())
+	s.pool.DropStream(streamID, time.Now())
 	s.log.Info("no longer dispatching for a box",
 		zap.String("Service", s.groupName),
 		zap.String("Box", from.Box),
@@ -358,14 +358,14 @@
 		return
 	case *peerpb.Call_Kept:
 		s.cachesKnown = true
-		s.pool.Learn(dispatch.Kept{
+		s.pool.AddCachedParts(dispatch.CachedParts{
 			Endpoint: kind.Kept.Endpoint,
 			Born:     kind.Kept.Born,
 			Parts:    decodeParts(kind.Kept.PartIDs, kind.Kept.PartTokens),
 		}, now)
 		return
 	case *peerpb.Call_Rest:
-		s.pool.Rest(streamID, decodeRest(kind.Rest, now), now)
+		s.pool.SetBackoff(streamID, decodeRest(kind.Rest, now), now)
 		return
 	case *peerpb.Call_Served:
 		s.recordServed(streamID, kind.Served, now)
@@ -389,7 +389,7 @@
 	if r == nil || now.Sub(s.leftAt[r.box]) < s.pool.Rules.Window {
 		return
 	}
-	s.pool.Recall(dispatch.Service{Customer: served.Customer, Route: served.Route, Tokens: float64(served.Tokens)}, now)
+	s.pool.AddHistory(dispatch.GrantTotal{Customer: served.Customer, Route: served.Route, Tokens: float64(served.Tokens)}, now)
 }
 
 func (s *scheduler) handleRequest(streamID uint64, message *peerpb.Ask, stream *peer.DispatchStream, now time.Time) {
@@ -402,7 +402,7 @@
 	s.learnPromptCaches()
 	s.pool.Submit(req, now)
 	s.decide()
-	if s.pool.Waits(req.ID) {
+	if s.pool.IsWaiting(req.ID) {
 		stream.Send(&peerpb.Verdict{ID: req.ID, Queued: true})
 	}
 }
--- a/pkg/gateway/rests_test.go
+++ b/pkg/gateway/rests_test.go
@@ -57,7 +57,7 @@
 	Convey("Callers come back once the first one returns, and not together", t, func() {
 		times := map[time.Duration]bool{}
 		for range 20 {
-			after := dispatch.AfterRest(2*time.Second, rand.Float64())
+			after := dispatch.RetryAfterBackoff(2*time.Second, rand.Float64())
 			So(after, ShouldBeBetweenOrEqual, 2*time.Second, 2500*time.Millisecond)
 			times[after] = true
 		}
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -184,7 +184,7 @@
 			engines += weight
 		}
 		So(engines, ShouldEqual, p.engines)
-		req := &dispatch.Ask{ID: "r", Prompt: dispatch.Prompt{Parts: []dispatch.Part{{ID: 1, Tokens: 2000}, {ID: 2, Tokens: 10}}}}
+		req := &dispatch.Request{ID: "r", Prompt: dispatch.Prompt{Parts: []dispatch.Part{{ID: 1, Tokens: 2000}, {ID: 2, Tokens: 10}}}}
 		used := p.groupFor(req)
 		So(p.groupFor(req), ShouldEqual, used)
 		So(p.activeGroups(), ShouldHaveLength, 1)
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -83,7 +83,7 @@
 	// suspects are boxes that gave no word.
 	suspects map[string]suspicion
 	// floods are the customers beyond their share, with what waits here of each.
-	floods dispatch.Floods
+	floods dispatch.BacklogLimiter
 	// turnedHere is what this box refused itself since that was last told, by customer.
 	localRefusals map[string]*localRefusals
 	// learnt is set once the engines were asked what they keep, or a router told.
@@ -138,7 +138,7 @@
 func newScheduler(g *Gateway, p *pool, number int) *scheduler {
 	rules := dispatch.DefaultRules()
 	rules.Window = g.Settings.ShareWindow
-	rules.ColdFactor, rules.ColdMore = g.Settings.ColdFactor, g.Settings.ColdExtra
+	rules.ColdFactor, rules.ColdExtra = g.Settings.ColdFactor, g.Settings.ColdExtra
 	s := &scheduler{
 		gateway:       g,
 		groupName:     partition.GroupName(p.name, number),
@@ -205,7 +205,7 @@
 		s.pool.Adopt(one.ask, one.endpoint, one.begun, now)
 	}
 	for _, rest := range s.gateway.rests.active(now) {
-		s.pool.Rest(ownStream, rest, now)
+		s.pool.SetBackoff(ownStream, rest, now)
 	}
 }
 
@@ -283,7 +283,7 @@
 // look delivers what the pool decides. The lock is held.
 func (s *scheduler) decideNow(now time.Time) {
 	s.decidedAt = now
-	s.pool.ColdPart = s.coldFraction(now)
+	s.pool.ColdFraction = s.coldFraction(now)
 	if contested := s.isContested(); contested != s.pool.Contested {
 		s.pool.Contested = contested
 		s.log.Info("dispatch contested", zap.String("Service", s.groupName), zap.Bool("Contested", contested))
@@ -291,31 +291,31 @@
 	for _, d := range s.pool.Decide(now) {
 		switch d := d.(type) {
 		case dispatch.Grant:
-			s.deliver(d.Ask, verdict{
+			s.deliver(d.Request, verdict{
 				endpoint:      d.Endpoint,
 				wait:          d.Wait,
-				readTime:      d.Read,
-				missingTokens: d.Missing,
+				readTime:      d.ReadTime,
+				missingTokens: d.MissingTokens,
 			})
-		case dispatch.Turn:
-			s.deliver(d.Ask, verdict{retryAfter: d.RetryAfter, overShare: d.Over, noEligibleEngine: d.Resting, waiting: d.Queued})
+		case dispatch.Refusal:
+			s.deliver(d.Request, verdict{retryAfter: d.RetryAfter, overShare: d.OverShare, noEligibleEngine: d.NoEligibleEngine, waiting: d.Queued})
 		}
 	}
 }
 
-func (s *scheduler) deliver(req *dispatch.Ask, v verdict) {
+func (s *scheduler) deliver(req *dispatch.Request, v verdict) {
 	v.decidedBy = s.gateway.Settings.Name
-	if req.Router == ownStream {
+	if req.Stream == ownStream {
 		s.resolvePending(req.ID, nil, v)
 		return
 	}
-	to := s.streams[req.Router]
+	to := s.streams[req.Stream]
 	if to != nil && to.stream.Send(encodeVerdict(req.ID, v)) {
 		return
 	}
 	s.log.Warn("verdict not delivered",
 		zap.String("Request", req.ID),
-		zap.Uint64("Stream", req.Router),
+		zap.Uint64("Stream", req.Stream),
 		zap.Bool("StreamKnown", to != nil),
 		zap.String("Endpoint", v.endpoint))
 	if v.endpoint != "" {
@@ -328,8 +328,8 @@
 
 // acquire waits until a request is granted an engine or turned away, by this box where it is
 // to decide alone.
-func (s *scheduler) acquire(ctx context.Context, req *dispatch.Ask, alone bool) (verdict, error) {
-	req.Router = ownStream
+func (s *scheduler) acquire(ctx context.Context, req *dispatch.Request, alone bool) (verdict, error) {
+	req.Stream = ownStream
 	if why := s.enterQueue(req.Customer); why != dispatch.Admitted {
 		return s.refuseLocally(why, req), nil
 	}
@@ -342,7 +342,7 @@
 }
 
 // ask has the box that dispatches decide, or this one.
-func (s *scheduler) req(ctx context.Context, req *dispatch.Ask, alone bool) (verdict, error) {
+func (s *scheduler) req(ctx context.Context, req *dispatch.Request, alone bool) (verdict, error) {
 	for range maxDispatchersAsked {
 		if alone {
 			break
@@ -365,7 +365,7 @@
 
 // askOwn has this box's own pool decide, which sees the requests of all routers
 // or, where it stands in for the box that dispatches, only its own.
-func (s *scheduler) askLocal(ctx context.Context, req *dispatch.Ask, routers int) (verdict, error) {
+func (s *scheduler) askLocal(ctx context.Context, req *dispatch.Request, routers int) (verdict, error) {
 	p := &pending{queued: make(chan struct{}, 1), decided: make(chan verdict, 1)}
 	s.mu.Lock()
 	s.closeRemote(routers == 1)
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/service.go
@@ -40,7 +40,7 @@
 		one = &localRefusals{}
 		s.localRefusals[customer] = one
 	}
-	if why == dispatch.BeyondShare {
+	if why == dispatch.RefusedOverShare {
 		one.overShare += tokens
 	} else {
 		one.overloaded += tokens
@@ -79,7 +79,7 @@
 }
 
 // weight ranks a customer among those of a second.
-func (c *customerService) weight() float64 { return c.Asked + c.overShare + c.overloaded }
+func (c *customerService) weight() float64 { return c.Requested + c.overShare + c.overloaded }
 
 // reportServices logs, each second in which something is refused, what the customers
 // that ask for most asked for and got.
@@ -99,14 +99,14 @@
 	s.log.Info("customer's service",
 		zap.String("Service", s.groupName),
 		zap.String("Customer", one.Customer),
-		zap.Int64("Asked", int64(one.Asked)),
+		zap.Int64("Asked", int64(one.Requested)),
 		zap.Int64("TurnedShare", int64(one.overShare)),
 		zap.Int64("TurnedBusy", int64(one.overloaded)),
-		zap.Int64("Hopeless", int64(one.Hopeless)),
-		zap.Int64("Turned", int64(one.Turned)),
+		zap.Int64("Hopeless", int64(one.RefusedOnArrival)),
+		zap.Int64("Turned", int64(one.RefusedAfterWait)),
 		zap.Int64("Withdrawn", int64(one.Withdrawn)),
 		zap.Int64("Granted", int64(one.Granted)),
-		zap.Int64("GivenBack", int64(one.GivenBack)),
+		zap.Int64("GivenBack", int64(one.Refunded)),
 		zap.Int64("Begun", int64(one.Begun)),
 		zap.Int64("Answered", int64(one.Answered)))
 }
--- a/pkg/gateway/service_test.go
+++ b/pkg/gateway/service_test.go
@@ -18,11 +18,11 @@
 		s.pool.Configure(route.Service{Name: "llm", Engine: &route.Engine{}}, 0)
 		for i := range customers {
 			for n := range i + 1 {
-				s.pool.Submit(&dispatch.Ask{
+				s.pool.Submit(&dispatch.Request{
 					ID:       fmt.Sprint(i, "/", n),
 					Customer: fmt.Sprint("c", i),
 					Prompt:   dispatch.Prompt{Parts: []dispatch.Part{{ID: 1, Tokens: 100}}},
-					Expires:  start.Add(time.Minute),
+					Deadline: start.Add(time.Minute),
 				}, start)
 			}
 		}
@@ -33,8 +33,8 @@
 	})
 	Convey("A refusal of this box's own shows, beside what others asked for", t, func() {
 		s := scheduled(1)
-		s.recordLocalRefusal("flood", 500, dispatch.BeyondShare)
-		s.recordLocalRefusal("flood", 30, dispatch.RouterBusy)
+		s.recordLocalRefusal("flood", 500, dispatch.RefusedOverShare)
+		s.recordLocalRefusal("flood", 30, dispatch.RefusedBusy)
 		services := s.takeServices()
 		So(services, ShouldHaveLength, 2)
 		So(services[0].Customer, ShouldEqual, "flood")
@@ -44,7 +44,7 @@
 	})
 	Convey("However many customers there are, a second has few lines, of those that ask for most", t, func() {
 		s := scheduled(5 * maxReportedCustomers)
-		s.recordLocalRefusal("c0", 1, dispatch.BeyondShare)
+		s.recordLocalRefusal("c0", 1, dispatch.RefusedOverShare)
 		services := s.takeServices()
 		So(services, ShouldHaveLength, maxReportedCustomers)
 		So(services[0].Customer, ShouldEqual, fmt.Sprint("c", 5*maxReportedCustomers-1))
