--- a/pkg/epoch/epoch_test.go
+++ b/pkg/epoch/epoch_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestVersions(t *testing.T) {
-	Convey("Versions are ordered by epoch first, and give back what they were made of", t, func() {
+	Convey("Versions are ordered by epoch first, and return their epoch and counter", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			epochs, counters := rapid.Uint64Range(0, MaxEpoch), rapid.Uint64Range(0, MaxCounter)
 			e, c := epochs.Draw(t, "epoch"), counters.Draw(t, "counter")
@@ -22,7 +22,7 @@
 			}
 		})
 	})
-	Convey("Where no epoch is told, a version is the counter", t, func() {
+	Convey("In epoch 0, a version equals the counter", t, func() {
 		So(Join(0, 14), ShouldEqual, 14)
 		So(Join(0, 14).String(), ShouldEqual, "14")
 		So(Join(2, 14).String(), ShouldEqual, "2:14")
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/quaylead/quaylead/pkg/peer"
 )
 
-// viewOf is what a box of a fleet knows that has heard of all others.
+// viewOf returns the view of a box that has the rows of all others.
 func viewOf(boxes int) *View {
 	v := &View{Self: peer.Sender{Box: "box-0", Zone: "zone-0", PeerAddress: "box-0", Incarnation: 1}}
 	v.SetStatus(true, false)
@@ -30,7 +30,8 @@
 	return v
 }
 
-// BenchmarkContacts is the choice of contacts at rest, five times a second at each box.
+// BenchmarkContacts measures the choice of contacts in an unchanged fleet, which each box makes
+// five times a second.
 func BenchmarkContacts(b *testing.B) {
 	for _, boxes := range []int{100, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// BenchmarkChange is what a box does for news of one row, until its contacts are chosen anew.
+// BenchmarkChange measures the handling of one changed row, including the choice of contacts.
 func BenchmarkChange(b *testing.B) {
 	for _, boxes := range []int{100, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
--- a/pkg/membership/candidates.go
+++ b/pkg/membership/candidates.go
@@ -4,35 +4,37 @@
 	"time"
 )
 
-// Candidate is a box that may do a job for the fleet, such as dispatching.
+// Candidate is a box that may take on a task for the fleet, such as dispatching.
 type Candidate struct {
 	Name string
-	// Address is where other boxes reach it; empty for this box.
+	// Address is where other boxes connect to it; empty for this box.
 	Address string
-	// Incarnation is its start; 0 where it is not known.
+	// Incarnation identifies its start; 0 if it is not known.
 	Incarnation uint64
-	// Hash is of the name.
+	// Hash is the hash of the name.
 	Hash  uint64
 	Cores float64
-	// Heard is set where the box is known to be alive, and not only listed.
+	// Alive is set if the box is known to be alive, and not only listed.
 	Alive bool
 }
 
-// standing is a list of candidates as of a version of the view.
+// candidateCache holds the candidates as of a version of the view.
 type candidateCache struct {
 	candidates []Candidate
 	version    uint64
 	expiresAt  time.Time
 }
 
-// standFor bounds the age of the candidates without news: lists of boxes come without.
+// candidateCacheTTL bounds the age of cached candidates while the version stays the same:
+// AddListed does not change it.
 const candidateCacheTTL = 200 * time.Millisecond
 
-// Candidates are the other boxes that are alive, take work and have a configuration, and those
-// that are only listed: they may be alive, and their rows on the way. After all boxes were gone,
-// those that are back have to count before they are heard, or else each box takes whichever it
-// heard first for the one that dispatches. Those to which no session can be opened are left
-// out. The list is the same until the fleet changes, and is not to be changed.
+// Candidates returns the other boxes that are alive, accept work and have settings in force,
+// and those that are only listed: these may be alive while their rows are still on the way.
+// When a whole fleet restarts, boxes have to count before their rows arrive, or else each box
+// would take the first one that it received updates from for the one that dispatches. Boxes to
+// which no session can be opened are excluded. The slice is shared until the fleet changes and
+// must not be modified.
 func (v *View) Candidates(now time.Time) []Candidate {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -42,14 +44,14 @@
 	}
 	v.updateAlive()
 	found := make([]Candidate, 0, len(v.accepting))
-	for _, one := range v.accepting {
-		if one.Configured && one.box != nil {
+	for _, row := range v.accepting {
+		if row.Configured && row.box != nil {
 			found = append(found, Candidate{
-				Name:        one.Box,
-				Address:     one.PeerAddress,
-				Incarnation: one.Incarnation,
-				Hash:        one.box.hash,
-				Cores:       one.Cores,
+				Name:        row.Box,
+				Address:     row.PeerAddress,
+				Incarnation: row.Incarnation,
+				Hash:        row.box.hash,
+				Cores:       row.Cores,
 				Alive:       true,
 			})
 		}
@@ -63,37 +65,39 @@
 	return found
 }
 
-// recent is a count of the boxes that were alive a short while ago.
+// recentCount caches the result of CountRecent.
 type recentCount struct {
 	count     int
 	window    time.Duration
 	expiresAt time.Time
 }
 
-// recentFor is how long the count holds.
+// recentCountTTL is how long a cached count is used.
 const recentCountTTL = 50 * time.Millisecond
 
-// CountRecent is the number of other boxes that are alive, or were until a short while ago
-// and did not say that they leave. One that came back by its name counts once.
-func (v *View) CountRecent(now time.Time, within time.Duration) int {
+// CountRecent returns the number of other boxes that are alive, or were within the window
+// before now and did not announce that they leave. A box that restarted under the same name
+// counts once.
+func (v *View) CountRecent(now time.Time, window time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.recentCount.window == within && now.Before(v.recentCount.expiresAt) {
+	if v.recentCount.window == window && now.Before(v.recentCount.expiresAt) {
 		return v.recentCount.count
 	}
 	v.findLive()
 	names := make(map[string]bool, len(v.rows))
-	for _, one := range v.rows {
-		lost := !one.alive && (one.Leaving || now.Sub(one.lostAt) > within)
-		if !lost && one.Box != v.Self.Box {
-			names[one.Box] = true
+	for _, row := range v.rows {
+		lost := !row.alive && (row.Leaving || now.Sub(row.lostAt) > window)
+		if !lost && row.Box != v.Self.Box {
+			names[row.Box] = true
 		}
 	}
-	v.recentCount = recentCount{count: len(names), window: within, expiresAt: now.Add(recentCountTTL)}
+	v.recentCount = recentCount{count: len(names), window: window, expiresAt: now.Add(recentCountTTL)}
 	return len(names)
 }
 
-// AddressOf is where a box is reached; empty where that is not known.
+// AddressOf returns the address at which other boxes connect to a box; empty if it is not
+// known.
 func (v *View) AddressOf(box string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -103,7 +107,7 @@
 	return ""
 }
 
-// StartOf is the incarnation of a box that is alive; 0 where it is not known.
+// IncarnationOf returns the incarnation of a box as last reported; 0 if it is not known.
 func (v *View) IncarnationOf(box string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/pkg/membership/churn_test.go
+++ b/pkg/membership/churn_test.go
@@ -9,8 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// churn has a part of a fleet's boxes start again each second, and returns what a box sends in
-// a second, and how long it takes until all agree once they are left alone.
+// churn restarts a fraction of a fleet's boxes each second. It returns the messages and rows
+// that a box sends in a second, and how long it takes until all boxes agree after the last
+// restart.
 func churn(boxes int, part float64) (messages, rows float64, agreed time.Duration) {
 	f := newFleet(boxes, zones, 11)
 	f.run(4 * time.Second)
@@ -32,21 +33,22 @@
 	return messages, rows, f.agreeWithin(10 * time.Second)
 }
 
-// TestChurn holds what news of boxes that start again costs the others.
+// TestChurn bounds the messages that restarts of boxes cause at the others, and the time until
+// all boxes agree.
 func TestChurn(t *testing.T) {
 	const part = 0.01
 	counts := map[int]float64{}
 	for _, boxes := range []int{300, 600} {
 		synctest.Test(t, func(t *testing.T) {
 			messages, rows, agreed := churn(boxes, part)
-			t.Logf("%d boxes, %.0f start again in a second: a box sends %.0f messages with %.0f rows in a second; all agree %s after the last", boxes, part*float64(boxes), messages, rows, agreed)
+			t.Logf("%d boxes, %.0f restarts per second: a box sends %.0f messages with %.0f rows per second; all agree %s after the last restart", boxes, part*float64(boxes), messages, rows, agreed)
 			counts[boxes] = messages
-			Convey(fmt.Sprintf("All of %d agree within seconds", boxes), t, func() {
+			Convey(fmt.Sprintf("All %d boxes agree within seconds", boxes), t, func() {
 				So(agreed, ShouldBeLessThan, 3*time.Second)
 			})
 		})
 	}
-	Convey("The messages of a box do not grow with the fleet, where as large a part of it starts again", t, func() {
+	Convey("The messages of a box do not grow with the fleet if the same fraction of it restarts", t, func() {
 		So(counts[600], ShouldBeLessThan, 1.25*counts[300])
 	})
 }
--- a/pkg/membership/contacts.go
+++ b/pkg/membership/contacts.go
@@ -11,67 +11,67 @@
 	"github.com/quaylead/quaylead/pkg/peer"
 )
 
-// candidate is a box to which a session may be kept.
+// knownBox is a box to which a session may be kept.
 type knownBox struct {
 	name, address, zone string
-	// rings are its positions on the rings of contacts, and follows that on the ring that
-	// ranks the boxes for following the store.
+	// ringPositions are its positions on the contact rings, and followPosition is its position
+	// on the ring that ranks the boxes for following the store.
 	ringPositions  [zoneRings + fleetRings]uint64
 	followPosition uint64
-	// hash is of the name.
+	// hash is the hash of the name.
 	hash uint64
-	// incarnation is its start, as it was last heard of; 0 where it is only listed.
+	// incarnation identifies its start as last reported; 0 if the box is only listed.
 	incarnation uint64
 	cores       float64
-	// wantedAt is since when a session is wanted and does not stand; zero otherwise.
+	// openingSince is the time since which a session is wanted and not open; zero otherwise.
 	openingSince time.Time
-	// failedUntil is how long it is left out, after no session could be opened,
-	// failures times in a row.
+	// excludedUntil is the time until which the box is excluded because no session could be
+	// opened, which failed failures times in a row.
 	excludedUntil time.Time
 	failures      int
-	// chosenUntil is how long its session is kept, after it was last a neighbour, and
-	// askedUntil the same after it was last wanted for asking.
+	// neighbourUntil is the time until which its session is kept after it was last a neighbour,
+	// and requestedUntil the same after a session for requests was last wanted.
 	neighbourUntil, requestedUntil time.Time
-	// alive and heardOf tell of its rows.
+	// alive and hasRow say whether any of its rows is alive, and whether there is a row.
 	alive, hasRow bool
 }
 
 const (
-	// meshMost is the number of boxes up to which all keep sessions to all: as many
-	// as the neighbours that a box of a large fleet has about.
+	// maxMeshBoxes is the number of boxes up to which each one keeps sessions to all others:
+	// about as many as the neighbours of a box in a large fleet.
 	maxMeshBoxes = 12
-	// zoneRings is the number of rings of the boxes of one availability zone, and
-	// fleetRings that of the rings of all boxes. A box keeps sessions to the next one
-	// on each ring, and so has two neighbours on each. Random rings make a graph in
-	// which any box is some five hops from any other of 300, and which stays in one
-	// piece when a third of the boxes die (TestManyBoxesLost). Bytes between zones are
-	// dear, so most edges are within them.
+	// zoneRings is the number of rings of the boxes of one availability zone, and fleetRings
+	// that of the rings of all boxes. A box keeps sessions to the next box on each ring, and so
+	// has two neighbours on each. Random rings form a graph in which any two of 300 boxes are
+	// some five hops apart, and which stays connected when a third of the boxes die
+	// (TestManyBoxesLost). Traffic between zones is expensive, so most edges are within them.
 	zoneRings  = 2
 	fleetRings = 1
-	// openTime is how long a session may take to open before another neighbour is
-	// chosen: more than the time-out of a connection attempt, and one more attempt.
+	// openTimeout is how long a session may take to open before another neighbour is chosen:
+	// longer than the timeout of one connection attempt, plus one more attempt.
 	openTimeout = 800 * time.Millisecond
-	// failFor is how long a box is left out to which no session could be opened; it
-	// doubles, up to failLongest, while none can: lists name boxes that are long gone.
+	// minExclusion is how long a box is excluded to which no session could be opened. It
+	// doubles, up to maxExclusion, while none can: lists contain boxes that are long gone.
 	minExclusion = 2 * time.Second
 	maxExclusion = time.Minute
-	// linger is how long a session to a former neighbour is kept, so that the graph
-	// stays in one piece while the boxes learn of each other.
+	// neighbourTTL is how long a session to a former neighbour is kept, so that the graph stays
+	// connected while the boxes learn of each other.
 	neighbourTTL = 3 * time.Second
-	// askedLinger is the same for a session to a box that was asked: another request may
-	// follow soon. What is under way on it wants it by itself.
+	// requestedTTL is the same for a session that was wanted for requests: another request may
+	// follow soon. A request in progress keeps the session wanted by itself.
 	requestedTTL = 500 * time.Millisecond
-	// probeFor is how long one lost box is tried before the next one: each side of a
-	// cut tries some, so after it any two parts of a large fleet find each other
-	// within a second or two.
+	// probeInterval is how long one lost box is tried before the next one. Each side of a
+	// network partition tries some, so that any two parts of a large fleet find each other
+	// within a second or two after it heals.
 	probeInterval = time.Second
-	// probesEach is how many boxes try a lost one in that time. Where few are lost, all others
-	// would else try the same ones: a box that came back had sessions from hundreds, each of
-	// which told it the whole fleet.
+	// probersPerBox is how many boxes, on average, try each lost box in one interval. If few
+	// boxes are lost, all others would otherwise try the same ones: a box that came back
+	// received sessions from hundreds of boxes, each of which sent it the rows of the whole
+	// fleet.
 	probersPerBox = 3
 )
 
-// Listed notes a box that a list names. It may be dead.
+// AddListed adds a box from a list of boxes. It may be dead.
 func (v *View) AddListed(box peer.Sender) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -79,7 +79,7 @@
 	v.addBox(box)
 }
 
-// meet notes where a box is reached; nil where that is not known. The lock is held.
+// addBox records where a box is reached. It returns nil if that is not known. The lock is held.
 func (v *View) addBox(box peer.Sender) *knownBox {
 	name, address := box.Box, box.PeerAddress
 	known := v.boxes[name]
@@ -100,43 +100,43 @@
 }
 
 func newKnownBox(name string) *knownBox {
-	c := &knownBox{name: name, hash: xxhash.Sum64String(name), followPosition: ringPosition(name, followRing)}
-	for ring := range c.ringPositions {
-		c.ringPositions[ring] = ringPosition(name, ring)
+	box := &knownBox{name: name, hash: xxhash.Sum64String(name), followPosition: ringPosition(name, followRing)}
+	for ring := range box.ringPositions {
+		box.ringPositions[ring] = ringPosition(name, ring)
 	}
-	return c
+	return box
 }
 
-// Contacts are the boxes to which this one keeps sessions: its neighbours, those
-// that chose this one, a lost box that is tried, and those wanted for other reasons.
-// Reached are the boxes to which a session stands.
-func (v *View) Contacts(now time.Time, wanted []string, reached map[string]bool) map[string]peer.Contact {
+// Contacts returns the boxes to which this one keeps sessions: its neighbours, the boxes that
+// chose this one, a lost box that is probed, and the requested ones. The connected boxes are
+// those to which a session is open.
+func (v *View) Contacts(now time.Time, requested []string, connected map[string]bool) map[string]peer.Contact {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.ensureMaps()
-	v.updateFailures(now, reached)
+	v.updateFailures(now, connected)
 	v.updateAlive()
 	contacts := map[string]peer.Contact{}
 	for _, box := range v.neighbours(now) {
 		box.neighbourUntil = now.Add(neighbourTTL)
-		contacts[box.name] = peer.Contact{Address: box.address, SendsUpdates: true, Chosen: true}
+		contacts[box.name] = peer.Contact{Address: box.address, ReceivesUpdates: true, Chosen: true}
 	}
 	v.addFormerNeighbours(contacts, now)
 	v.addReciprocal(contacts)
 	if box := v.probeTarget(now); box != nil && contacts[box.name].Address == "" {
-		contacts[box.name] = peer.Contact{Address: box.address, SendsUpdates: true, Chosen: true}
+		contacts[box.name] = peer.Contact{Address: box.address, ReceivesUpdates: true, Chosen: true}
 	}
-	v.addRequested(contacts, wanted, now)
-	v.updateOpening(contacts, now, reached)
+	v.addRequested(contacts, requested, now)
+	v.updateOpening(contacts, now, connected)
 	return contacts
 }
 
-// noteFailures leaves out boxes whose sessions do not open. The lock is held.
-func (v *View) updateFailures(now time.Time, reached map[string]bool) {
+// updateFailures excludes boxes whose sessions do not open in time. The lock is held.
+func (v *View) updateFailures(now time.Time, connected map[string]bool) {
 	for _, box := range v.all {
 		switch {
 		case box.openingSince.IsZero():
-		case reached[box.name]:
+		case connected[box.name]:
 			box.openingSince = time.Time{}
 			box.failures = 0
 		case now.Sub(box.openingSince) > openTimeout:
@@ -148,8 +148,8 @@
 	}
 }
 
-// noteWanted starts the time that sessions have for opening. The lock is held.
-func (v *View) updateOpening(contacts map[string]peer.Contact, now time.Time, reached map[string]bool) {
+// updateOpening records since when the sessions to contacts are being opened. The lock is held.
+func (v *View) updateOpening(contacts map[string]peer.Contact, now time.Time, connected map[string]bool) {
 	for _, box := range v.all {
 		if box.openingSince.IsZero() {
 			continue
@@ -159,31 +159,31 @@
 		}
 	}
 	for name := range contacts {
-		if box := v.boxes[name]; box != nil && box.openingSince.IsZero() && !reached[name] {
+		if box := v.boxes[name]; box != nil && box.openingSince.IsZero() && !connected[name] {
 			box.openingSince = now
 		}
 	}
 }
 
-// noteLive tells the candidates which of them are alive. The lock is held.
+// updateAlive updates alive and hasRow of all known boxes. The lock is held.
 func (v *View) updateAlive() {
 	for _, box := range v.all {
 		box.alive, box.hasRow = false, false
 	}
 	v.findLive()
-	for _, one := range v.rows {
-		if box := one.box; box != nil {
+	for _, row := range v.rows {
+		if box := row.box; box != nil {
 			box.hasRow = true
-			box.alive = box.alive || one.alive
+			box.alive = box.alive || row.alive
 		}
 	}
 }
 
-// neighbours are the boxes that this one chooses itself. The lock is held.
+// neighbours returns the boxes that this one chooses itself. The lock is held.
 func (v *View) neighbours(now time.Time) []*knownBox {
 	var usable []*knownBox
 	for _, box := range v.all {
-		// Boxes that are only listed are tried: their row comes with the session.
+		// Boxes that are only listed are tried, too: their rows arrive with the session.
 		if (box.alive || !box.hasRow) && now.After(box.excludedUntil) {
 			usable = append(usable, box)
 		}
@@ -204,7 +204,7 @@
 	return neighbours
 }
 
-// next is the box that follows this one on a ring. The lock is held.
+// nextOnRing returns the box that follows this one on a ring. The lock is held.
 func (v *View) nextOnRing(usable []*knownBox, ring int, ownZone bool) *knownBox {
 	own := ringPosition(v.Self.Box, ring)
 	var best *knownBox
@@ -220,7 +220,7 @@
 	return best
 }
 
-// position is where a box stands on a ring.
+// ringPosition returns the position of a box on a ring.
 func ringPosition(box string, ring int) uint64 {
 	var bytes [16]byte
 	binary.LittleEndian.PutUint64(bytes[:8], xxhash.Sum64String(box))
@@ -228,28 +228,30 @@
 	return xxhash.Sum64(bytes[:])
 }
 
-// addFormer keeps sessions to former neighbours for a while. The lock is held.
+// addFormerNeighbours keeps the sessions to former neighbours for neighbourTTL. The lock is
+// held.
 func (v *View) addFormerNeighbours(contacts map[string]peer.Contact, now time.Time) {
 	for _, box := range v.all {
 		if now.Before(box.neighbourUntil) && contacts[box.name].Address == "" {
-			contacts[box.name] = peer.Contact{Address: box.address, SendsUpdates: true, Chosen: true}
+			contacts[box.name] = peer.Contact{Address: box.address, ReceivesUpdates: true, Chosen: true}
 		}
 	}
 }
 
-// addAnswers adds the boxes that chose this one: news goes both ways. The lock is held.
+// addReciprocal adds the boxes that chose this one, as updates flow in both directions. The
+// lock is held.
 func (v *View) addReciprocal(contacts map[string]peer.Contact) {
 	for _, from := range v.senders {
 		if from.chosen && from.Box != v.Self.Box && contacts[from.Box].Address == "" {
-			contacts[from.Box] = peer.Contact{Address: from.PeerAddress, SendsUpdates: true}
+			contacts[from.Box] = peer.Contact{Address: from.PeerAddress, ReceivesUpdates: true}
 		}
 	}
 }
 
-// addAsked adds the boxes wanted for asking, and for a while those that were: requests
-// may be under way on their sessions. The lock is held.
-func (v *View) addRequested(contacts map[string]peer.Contact, wanted []string, now time.Time) {
-	for _, name := range wanted {
+// addRequested adds the boxes to which sessions for requests are wanted, or were within
+// requestedTTL: requests may be in progress on them. The lock is held.
+func (v *View) addRequested(contacts map[string]peer.Contact, requested []string, now time.Time) {
+	for _, name := range requested {
 		if box := v.boxes[name]; box != nil {
 			box.requestedUntil = now.Add(requestedTTL)
 		}
@@ -261,7 +263,7 @@
 	}
 }
 
-// probed is the lost box that is tried now; nil where none is lost. The lock is held.
+// probeTarget returns the lost box that is probed now, or nil. The lock is held.
 func (v *View) probeTarget(now time.Time) *knownBox {
 	if now.Before(v.probeUntil) {
 		return v.boxes[v.probing]
--- a/pkg/membership/fleet_test.go
+++ b/pkg/membership/fleet_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// With 300 boxes and three seeds all tests passed as well; that took four minutes.
+	// All tests passed with 300 boxes and three seeds as well, in four minutes.
 	boxCount, zones = 120, 5
-	// seeds is the number of fleets with other luck that each test plays.
+	// seeds is the number of random fleets that each test simulates.
 	seeds = 1
 )
 
@@ -34,7 +34,7 @@
 }
 
 func TestSessionsAreFew(t *testing.T) {
-	inFleet(t, "Boxes of a large fleet keep few sessions, and tell nothing but signs of life while nothing changes", func(f *fleet) {
+	inFleet(t, "Boxes of a large fleet keep few sessions, and send nothing but heartbeats while nothing changes", func(f *fleet) {
 		So(f.mostSessions(), ShouldBeLessThanOrEqualTo, 32)
 		before := f.rows
 		f.run(5 * time.Second)
@@ -43,7 +43,7 @@
 }
 
 func TestManyBoxesLost(t *testing.T) {
-	inFleet(t, "A third of the boxes die at once: the others agree on who is left", func(f *fleet) {
+	inFleet(t, "A third of the boxes die at once: the others agree on the live boxes", func(f *fleet) {
 		for _, n := range f.shuffled()[:boxCount/3] {
 			f.kill(n)
 		}
@@ -52,7 +52,7 @@
 }
 
 func TestZoneCutOff(t *testing.T) {
-	inFleet(t, "A zone is cut off: each side finds the other gone, and both find each other again", func(f *fleet) {
+	inFleet(t, "A zone is cut off: each side finds the other lost, and both find each other again", func(f *fleet) {
 		for _, n := range f.nodes {
 			if n.Self.Zone == "zone-1" {
 				n.partition = 1
@@ -68,7 +68,7 @@
 }
 
 func TestLongCut(t *testing.T) {
-	inFleet(t, "A zone is cut off until its rows are forgotten: boxes that joined meanwhile learn of it too", func(f *fleet) {
+	inFleet(t, "A zone is cut off until its rows are removed: boxes that joined meanwhile learn of it, too", func(f *fleet) {
 		for _, n := range f.nodes {
 			if n.Self.Zone == "zone-1" {
 				n.partition = 1
@@ -110,7 +110,7 @@
 }
 
 func TestFrozenBoxes(t *testing.T) {
-	inFleet(t, "Frozen boxes are found gone, and their old beliefs change nothing when they wake", func(f *fleet) {
+	inFleet(t, "Frozen boxes are found lost, and their outdated rows change nothing when they resume", func(f *fleet) {
 		frozen := f.shuffled()[:boxCount/10]
 		for _, n := range frozen {
 			n.frozen = true
@@ -142,9 +142,9 @@
 	})
 }
 
-// TestLeaving holds that a box that leaves is not counted, wherever it is seen from.
+// TestLeaving checks that no box counts a leaving one.
 func TestLeaving(t *testing.T) {
-	inFleet(t, "A leaving box takes no work", func(f *fleet) {
+	inFleet(t, "A leaving box accepts no work", func(f *fleet) {
 		leaving := f.nodes[f.rand.IntN(boxCount)]
 		leaving.SetStatus(true, true)
 		f.run(time.Second)
@@ -158,7 +158,7 @@
 	})
 }
 
-// TestSmallFleet holds that all boxes of a small fleet keep sessions to all others.
+// TestSmallFleet checks that all boxes of a small fleet keep sessions to all others.
 func TestSmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(9, 3, 1)
@@ -178,10 +178,10 @@
 	})
 }
 
-// TestFollowers holds that few boxes of each zone follow the store, and that others do
-// where these do not reach it.
+// TestFollowers checks that few boxes of each zone follow the store, and that others replace
+// those that do not reach it.
 func TestFollowers(t *testing.T) {
-	inFleet(t, "Few boxes of each zone follow the store, others where it turns these away", func(f *fleet) {
+	inFleet(t, "Few boxes of each zone follow the store, and others if it refuses these", func(f *fleet) {
 		following := func() (reaching, trying int) {
 			for _, n := range f.nodes {
 				if n.IsFollower() {
@@ -197,35 +197,35 @@
 		So(reaching, ShouldEqual, zones*followersPerZone)
 		So(f.nodes[0].CountFollowers(), ShouldEqual, zones*followersPerZone)
 		So(trying, ShouldEqual, reaching)
-		// The store turns a third of the boxes away.
-		away := map[*node]bool{}
+		// The store refuses a third of the boxes.
+		rejected := map[*node]bool{}
 		for _, n := range f.shuffled()[:boxCount/3] {
-			away[n] = true
+			rejected[n] = true
 		}
-		f.tryStore(away)
+		f.tryStore(rejected)
 		reaching, trying = following()
 		So(reaching, ShouldBeGreaterThanOrEqualTo, zones)
 		So(trying, ShouldBeLessThanOrEqualTo, zones*(followersPerZone+maxReplaced+3))
-		// It serves two boxes only, the last ones that it falls to.
+		// It serves only the two boxes of a zone that rank last.
 		for _, n := range f.nodes {
-			away[n] = true
+			rejected[n] = true
 		}
 		last := f.lastFollowers("zone-1")
-		delete(away, last[0])
-		delete(away, last[1])
+		delete(rejected, last[0])
+		delete(rejected, last[1])
 		for range 8 * boxCount / zones / 10 {
-			f.tryStore(away)
+			f.tryStore(rejected)
 		}
 		reaching, _ = following()
 		So(reaching, ShouldBeGreaterThanOrEqualTo, 1)
 		f.tryStore(nil)
-		// It is gone for all, and comes back.
+		// It fails for all boxes and recovers.
 		for _, n := range f.nodes {
-			away[n] = true
+			rejected[n] = true
 		}
-		f.tryStore(away)
+		f.tryStore(rejected)
 		_, trying = following()
-		// Those that try grow by some in the five seconds.
+		// In the five seconds, some more boxes begin to try.
 		So(trying, ShouldBeLessThanOrEqualTo, zones*(followersPerZone+maxReplaced+3))
 		f.tryStore(nil)
 		reaching, trying = following()
@@ -234,10 +234,10 @@
 	})
 }
 
-// TestSettled holds when a starting box believes that it knows the fleet.
+// TestSettled checks when a starting box assumes that it knows the fleet.
 func TestSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A box knows the fleet once no news comes any more", t, func() {
+		Convey("A box knows the fleet once no more changes arrive", t, func() {
 			alone := &View{Self: peer.Sender{Box: "a", Incarnation: 1}}
 			alone.SetStatus(true, false)
 			slow := &View{Self: peer.Sender{Box: "a", Incarnation: 1}}
@@ -268,9 +268,10 @@
 	})
 }
 
-// TestAskedBoxes holds that the session to a box that is asked outlasts its being wanted.
+// TestAskedBoxes checks that a session for requests is kept for requestedTTL after it was last
+// wanted.
 func TestAskedBoxes(t *testing.T) {
-	inFleet(t, "A session for asking stands while it is wanted, and a while longer", func(f *fleet) {
+	inFleet(t, "A session for requests is kept while it is wanted, and for requestedTTL after that", func(f *fleet) {
 		n := f.nodes[0]
 		asked := ""
 		for _, other := range f.nodes {
@@ -281,7 +282,7 @@
 		now := time.Now()
 		contact, there := n.Contacts(now, []string{asked}, nil)[asked]
 		So(there, ShouldBeTrue)
-		So(contact.SendsUpdates, ShouldBeFalse)
+		So(contact.ReceivesUpdates, ShouldBeFalse)
 		_, there = n.Contacts(now.Add(requestedTTL-time.Millisecond), nil, nil)[asked]
 		So(there, ShouldBeTrue)
 		_, there = n.Contacts(now.Add(requestedTTL+time.Millisecond), nil, nil)[asked]
--- a/pkg/membership/followers.go
+++ b/pkg/membership/followers.go
@@ -3,67 +3,69 @@
 import "time"
 
 const (
-	// followersEach is the number of boxes of an availability zone that follow the
-	// store for all. Calls of the store are dear and limited; a zone's store may turn
-	// one away, and one may be gone for the seconds until the others notice.
+	// followersPerZone is the number of boxes of an availability zone that follow the store for
+	// all others. Calls of the store are expensive and rate-limited; a zone's store may refuse
+	// one of the two, or one may be gone for the seconds until the others notice.
 	followersPerZone = 2
-	// mostPassedOver is the number of boxes of a zone, out of reach of the store, that
-	// others stand in for: in an outage of the store as few try as this and
-	// followersEach. Where a third of the boxes is turned away, so are all four of a
-	// zone in 1 of 80 zones, and other zones follow.
+	// maxReplaced is the number of boxes of a zone that cannot reach the store and are replaced
+	// by others: in an outage of the store, no more boxes try it than this plus
+	// followersPerZone. If the store refuses a third of the boxes, it refuses all four of a
+	// zone in 1 of 80 zones, and other zones still follow.
 	maxReplaced = 2
-	// passMore is the time after which they stand in for one more, while the first of
-	// these does not come back: where the store serves few boxes, one of them is found,
-	// and in an outage for all the number of those that try grows slowly.
+	// replaceInterval is the time after which one more box is replaced while the one lost first
+	// does not recover. So if the store serves only a few boxes, one of them is found, and in
+	// an outage for all the number of boxes that try grows slowly.
 	replaceInterval = 2 * time.Second
-	// followRing is the ring that ranks the boxes for following the store, other than
-	// those of contacts.
+	// followRing is the ring that ranks the boxes for following the store. It is not one of the
+	// contact rings.
 	followRing = 1000
 )
 
-// Follows tells whether it falls to this box to follow the store.
+// IsFollower reports whether this box is to follow the store.
 func (v *View) IsFollower() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.findLive()
-	before := predecessors{}
+	preceding := predecessors{}
 	own := ringPosition(v.Self.Box, followRing)
-	for _, one := range v.accepting {
-		if one.Zone != v.Self.Zone || one.box == nil || one.box.followPosition >= own {
+	for _, row := range v.accepting {
+		if row.Zone != v.Self.Zone || row.box == nil || row.box.followPosition >= own {
 			continue
 		}
-		before.count(one)
+		preceding.count(row)
 	}
-	return before.notReplaced() < followersPerZone
+	return preceding.notReplaced() < followersPerZone
 }
 
-// ahead counts boxes that come before another one.
+// predecessors counts the boxes that rank before another one, by whether they reach the store.
 type predecessors struct {
 	withStore, withoutStore int
-	// longest is how long one of those that do not reach the store has not.
+	// longestLost is the longest time for which one of those without the store has not reached
+	// it.
 	longestLost time.Duration
 }
 
-func (a *predecessors) count(one *entry) {
-	if one.StoreLost {
-		a.withoutStore++
-		a.longestLost = max(a.longestLost, time.Since(one.storeLostAt))
+func (p *predecessors) count(row *entry) {
+	if row.StoreLost {
+		p.withoutStore++
+		p.longestLost = max(p.longestLost, time.Since(row.storeLostAt))
 		return
 	}
-	a.withStore++
+	p.withStore++
 }
 
-// standing are those for which no other box stands in.
-func (a *predecessors) notReplaced() int {
-	passedOver := min(a.withoutStore, maxReplaced+int(a.longestLost/replaceInterval))
-	return a.withStore + a.withoutStore - passedOver
+// notReplaced returns the number of boxes that are not replaced by others.
+func (p *predecessors) notReplaced() int {
+	replaced := min(p.withoutStore, maxReplaced+int(p.longestLost/replaceInterval))
+	return p.withStore + p.withoutStore - replaced
 }
 
-// Turn is the number of other boxes that come before this one where all have just started and
-// some have to read the store first: those that live, and those that are listed and were not
-// heard of yet. Those with more processor time come first: reading a large table and telling it
-// takes a small box many times as long, and all wait for it. A box of a large fleet knows a part
-// of the list only, so that somewhat more boxes find themselves to be among the first.
+// StartRank returns the number of other boxes that come before this one when all have just
+// started and some have to read the store first: those that are alive, and those that are
+// listed and have sent no row yet. Boxes with more processor time come first: reading a large
+// table and sending it on takes a small box many times as long, and all others wait for it. A
+// box of a large fleet knows only a part of the list, so somewhat more boxes than intended find
+// themselves among the first.
 func (v *View) StartRank() (count int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -78,23 +80,24 @@
 	return count
 }
 
-// Ahead is the number of boxes before this one, as of Turn, that are alive and reach the store,
-// or for which no other one stands in.
+// LiveAhead returns the number of boxes of a lower StartRank that are alive and reach the
+// store, or are not replaced by another one.
 func (v *View) LiveAhead() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.ensureMaps()
 	v.findLive()
-	before := predecessors{}
-	for _, one := range v.accepting {
-		if one.box != nil && v.ranksBefore(one.box) {
-			before.count(one)
+	preceding := predecessors{}
+	for _, row := range v.accepting {
+		if row.box != nil && v.ranksBefore(row.box) {
+			preceding.count(row)
 		}
 	}
-	return before.notReplaced()
+	return preceding.notReplaced()
 }
 
-// readsFirst tells whether a box comes before this one in the order of Turn.
+// ranksBefore reports whether a box comes before this one in the order of StartRank. The lock
+// is held.
 func (v *View) ranksBefore(box *knownBox) bool {
 	if box.cores != v.Self.Cores {
 		return box.cores > v.Self.Cores
@@ -102,14 +105,14 @@
 	return box.followPosition < ringPosition(v.Self.Box, followRing)
 }
 
-// Followers is the number of boxes that follow the store, or try to.
+// CountFollowers returns the number of boxes that follow the store, or try to.
 func (v *View) CountFollowers() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.findLive()
 	zones := map[string]int{v.Self.Zone: 1}
-	for _, one := range v.accepting {
-		zones[one.Zone]++
+	for _, row := range v.accepting {
+		zones[row.Zone]++
 	}
 	followers := 0
 	for _, boxes := range zones {
@@ -118,7 +121,7 @@
 	return followers
 }
 
-// NoteStore notes whether this box's calls of the store fail.
+// SetStoreLost sets whether this box's calls of the store fail.
 func (v *View) SetStoreLost(lost bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -126,12 +129,12 @@
 	v.updateOwnRow(time.Now())
 }
 
-// StoreLost tells whether the calls of another box that is alive fail.
+// AnyStoreLost reports whether the store calls of any other live box fail.
 func (v *View) AnyStoreLost() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, one := range v.findLive() {
-		if one.StoreLost {
+	for _, row := range v.findLive() {
+		if row.StoreLost {
 			return true
 		}
 	}
--- a/pkg/membership/probe_test.go
+++ b/pkg/membership/probe_test.go
@@ -10,36 +10,36 @@
 	"github.com/quaylead/quaylead/pkg/peer"
 )
 
-// TestProbes holds how many boxes try one that is lost: some, and not all.
+// TestProbes checks that some boxes, but not all, probe a lost one.
 func TestProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A lost box is tried by a few others at a time", t, func() {
+		Convey("A lost box is probed by a few others at a time", t, func() {
 			f := newFleet(boxCount, zones, 5)
 			f.run(6 * time.Second)
 			lost := f.nodes[7]
 			f.kill(lost)
 			f.run(2 * neighbourTTL)
-			tried, most := 0, 0
+			tried, maxTried := 0, 0
 			const seconds = 10
 			for range seconds {
 				f.run(probeInterval)
-				now := 0
+				probers := 0
 				for _, n := range f.nodes {
 					if _, wanted := n.contacts[lost.Self.Box]; wanted && n != lost {
-						now++
+						probers++
 					}
 				}
-				tried, most = tried+now, max(most, now)
+				tried, maxTried = tried+probers, max(maxTried, probers)
 			}
-			t.Logf("%d boxes try it at a time, %d at most", tried/seconds, most)
+			t.Logf("%d boxes probe it at a time, %d at most", tried/seconds, maxTried)
 			So(tried, ShouldBeGreaterThan, 0)
-			So(most, ShouldBeLessThan, 8*probersPerBox)
+			So(maxTried, ShouldBeLessThan, 8*probersPerBox)
 		})
 	})
 }
 
 func TestTurn(t *testing.T) {
-	Convey("Where all have just started, boxes with more processor time come first", t, func() {
+	Convey("When all boxes have just started, those with more processor time come first", t, func() {
 		fleet := map[string]float64{"small-1": 0.2, "small-2": 0.2, "large-1": 1.6, "large-2": 1.6, "small-3": 0.2}
 		turns := map[int]string{}
 		for own, cores := range fleet {
--- a/pkg/membership/simulation_test.go
+++ b/pkg/membership/simulation_test.go
@@ -10,13 +10,13 @@
 	"github.com/quaylead/quaylead/pkg/peer"
 )
 
-// The timing of the simulated fleet, after that of the gateway.
+// The timing of the simulated fleet, modelled on that of the gateway.
 const (
 	step           = 10 * time.Millisecond
 	chooseInterval = 20 * step
 	heartbeat      = 100 * step
 	lapse          = 250 * step
-	// dialTime is how long an attempt to open a session takes where nobody answers.
+	// dialTimeout is how long an attempt to open a session takes if nobody answers.
 	dialTimeout = 50 * step
 )
 
@@ -24,20 +24,20 @@
 type node struct {
 	View
 	down, frozen bool
-	// island is the part of the network that it is in.
+	// partition is the part of the network that the box is in.
 	partition int
 	contacts  map[string]peer.Contact
-	// open are its sessions, by the other's name.
+	// open are its sessions by the name of the other box.
 	open map[string]*session
-	// dialled is when an attempt at a session began.
+	// dialled is when the last attempt to open a session began.
 	dialled map[string]time.Time
 	phase   int
 }
 
-// session carries one box's news to another.
+// session carries one box's updates to another.
 type session struct {
 	to *node
-	// incarnation is that of the other box at the opening.
+	// incarnation is that of the other box when the session was opened.
 	incarnation uint64
 	from        peer.Sender
 	sentAny     bool
@@ -46,14 +46,14 @@
 	receivedAt  time.Time
 }
 
-// fleet simulates boxes that tell each other over sessions, with clocks of synctest.
+// fleet simulates boxes that exchange rows over sessions, with the clock of synctest.
 type fleet struct {
 	rand  *rand.Rand
 	nodes []*node
 	names map[string]*node
 	steps int
 	next  uint64
-	// rows counts the rows that were sent, and messages what they were sent in.
+	// rows counts the rows sent, and messages the messages that carried them.
 	rows, messages int
 }
 
@@ -65,7 +65,7 @@
 	return f
 }
 
-// add starts a box that has read the list of the boxes that were there before.
+// add starts a box that has read the list of the boxes added before.
 func (f *fleet) add(name, zone string) *node {
 	n := &node{phase: f.rand.IntN(1000)}
 	f.names[name] = n
@@ -75,7 +75,7 @@
 	return n
 }
 
-// start gives a box a new incarnation that knows nothing but the list.
+// start gives a box a new incarnation that knows only the list.
 func (f *fleet) start(n *node) {
 	f.next++
 	self := n.Self
@@ -113,7 +113,7 @@
 	return !a.down && !b.down && !a.frozen && !b.frozen && a.partition == b.partition
 }
 
-// run passes time.
+// run advances the time.
 func (f *fleet) run(length time.Duration) {
 	for range int(length / step) {
 		time.Sleep(step)
@@ -166,7 +166,7 @@
 func (f *fleet) sendUpdates(n *node) {
 	for name, s := range n.open {
 		contact := n.contacts[name]
-		if !contact.SendsUpdates || !f.connected(n, s.to) || s.to.Self.Incarnation != s.incarnation {
+		if !contact.ReceivesUpdates || !f.connected(n, s.to) || s.to.Self.Incarnation != s.incarnation {
 			continue
 		}
 		rows, mark := n.Rows(s.mark, name)
@@ -180,7 +180,7 @@
 	}
 }
 
-// lapse closes the sessions over which nothing came for too long.
+// closeLapsed closes the sessions over which nothing was received for too long.
 func (f *fleet) closeLapsed() {
 	for _, n := range f.nodes {
 		for _, s := range n.open {
@@ -191,7 +191,7 @@
 	}
 }
 
-// agree tells whether each box that is up finds alive just those of its island.
+// isAgreed reports whether each running box finds alive exactly the boxes of its partition.
 func (f *fleet) isAgreed() bool {
 	up := map[int]int{}
 	for _, n := range f.nodes {
@@ -207,16 +207,17 @@
 	return true
 }
 
-// agreeWithin runs until all agree, and tells how long that took.
-func (f *fleet) agreeWithin(most time.Duration) time.Duration {
-	began := time.Now()
-	for time.Since(began) < most && !f.isAgreed() {
+// agreeWithin runs until all boxes agree, and returns how long that took, or an hour if they do
+// not agree within the limit.
+func (f *fleet) agreeWithin(limit time.Duration) time.Duration {
+	start := time.Now()
+	for time.Since(start) < limit && !f.isAgreed() {
 		f.run(minRowsDelay)
 	}
 	if !f.isAgreed() {
 		return time.Hour
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
 func (f *fleet) mostSessions() int {
@@ -233,14 +234,14 @@
 	return slices.Max(counts)
 }
 
-// shuffled are the boxes in random order.
+// shuffled returns the boxes in random order.
 func (f *fleet) shuffled() []*node {
 	nodes := slices.Clone(f.nodes)
 	f.rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	return nodes
 }
 
-// lastFollowers are the two boxes of a zone to which following the store falls last.
+// lastFollowers returns the two boxes of a zone that rank last for following the store.
 func (f *fleet) lastFollowers(zone string) []*node {
 	var nodes []*node
 	for _, n := range f.nodes {
@@ -254,12 +255,13 @@
 	return nodes[:2]
 }
 
-// tryStore has the boxes that follow the store call it, for a few seconds.
-func (f *fleet) tryStore(away map[*node]bool) {
+// tryStore simulates five seconds in which the followers call the store, which refuses the
+// given boxes.
+func (f *fleet) tryStore(rejected map[*node]bool) {
 	for range 10 {
 		for _, n := range f.nodes {
-			if n.IsFollower() && n.own.StoreLost != away[n] {
-				n.SetStoreLost(away[n])
+			if n.IsFollower() && n.own.StoreLost != rejected[n] {
+				n.SetStoreLost(rejected[n])
 			}
 		}
 		f.run(time.Second / 2)
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -1,13 +1,13 @@
-// Package membership keeps which boxes of a fleet are alive, where each box has
-// sessions to a few others only.
+// Package membership determines which boxes of a fleet are alive, while each box keeps sessions
+// to a few others only.
 //
-// Each box tells its neighbours a row of its own: whether it takes work, and which
-// boxes tell it of themselves. Only the box itself changes its row; the others pass
-// it on as it is. A box is alive where it is heard by a box that is alive, from this
-// box on. So no box has to declare another one dead, two accounts of a box can not
-// contradict each other, and a part of the fleet that is cut off drops out at once
-// with the last session to it. The cost of this to a box follows from the number of its
-// neighbours and from how often boxes come and go, not from the size of the fleet.
+// Each box reports a row of its own to its neighbours: whether it accepts work, and from which
+// boxes it receives updates. Only the box itself changes its row; the others pass it on
+// unchanged. A box is alive if a live box receives updates from it, starting at this box. So no
+// box has to declare another one dead, two reports about a box cannot contradict each other,
+// and a part of the fleet that is cut off drops out as soon as its last session ends. The cost
+// for a box depends on the number of its neighbours and on how often boxes come and go, not on
+// the size of the fleet.
 package membership
 
 import (
@@ -19,42 +19,42 @@
 	"github.com/quaylead/quaylead/pkg/peer"
 )
 
-// View is what one box knows of the fleet. Its exported fields are set before use. It
-// is safe for concurrent use.
+// View is one box's view of the fleet. Its exported fields are set before use. It is safe for
+// concurrent use.
 type View struct {
-	// Self introduces this box.
+	// Self describes this box.
 	Self peer.Sender
 
 	mu sync.Mutex
-	// own is this box's row. It is told anew at ownDue, where that is not zero.
+	// own is this box's row. It is to be updated at ownUpdateDue, unless that is zero.
 	own          entry
 	ownUpdateDue time.Time
-	// ownAt is when it last changed.
+	// ownUpdatedAt is when it was last updated.
 	ownUpdatedAt time.Time
-	// rows are those of other incarnations, alive or not.
+	// rows are the rows of other incarnations, alive or not.
 	rows map[uint64]*entry
-	// heard are the boxes that tell this one of themselves.
+	// senders are the boxes that have an update stream to this one.
 	senders map[uint64]*sender
-	// clock counts what became news, startedAt is when this box's row first did, and
-	// newsAt when any last did.
+	// changeCount numbers the changes of rows. startedAt is the time of the first change, that
+	// of this box's own row, and lastChangeAt that of the last one.
 	changeCount             uint64
 	startedAt, lastChangeAt time.Time
-	// log holds the changes in the order of the clock; that a row has changed again
-	// since is told by its own news.
+	// log holds the changes in order. A row whose lastChange differs from the number has
+	// changed again since.
 	log []change
-	// live holds the rows of the other boxes that are alive; nil after a change.
-	// Takers are those of them that take work.
+	// live holds the rows of the other boxes that are alive; nil if they have to be determined
+	// anew. accepting holds those of them that accept work.
 	live, accepting []*entry
-	// version counts the changes after which live is nil.
+	// version counts the changes that reset live.
 	version uint64
-	// standing and recent hold what was last found of the fleet, for a while.
+	// candidateCache and recentCount cache results for a short time.
 	candidateCache candidateCache
 	recentCount    recentCount
-	// all are the candidates in boxes: they are looked over far more often than looked up.
+	// all holds the values of boxes: it is iterated far more often than a box is looked up.
 	all []*knownBox
-	// boxes are all that were ever heard of, by name.
+	// boxes are all boxes ever listed or reported, by name.
 	boxes map[string]*knownBox
-	// probe is a lost box that is being tried, until probeUntil.
+	// probing is the lost box that is probed until probeUntil.
 	probing    string
 	probeUntil time.Time
 }
@@ -62,52 +62,52 @@
 // entry is a row with what this box needs for passing it on.
 type entry struct {
 	peer.Row
-	// news is the clock when it last changed.
+	// lastChange is the number of the row's last change.
 	lastChange uint64
-	// from are the boxes that told the change; they need not be told it.
+	// knownBy are the boxes that sent this change; it need not be sent to them.
 	knownBy []string
-	// storeLostAt is since when the box says that it does not reach the store.
+	// storeLostAt is when the box began to report that it does not reach the store.
 	storeLostAt time.Time
-	// reached marks that the last search found the box alive.
+	// alive is set if findLive last found the box alive.
 	alive bool
-	// box is what is known of the box as one to have a session to; nil where it has no address.
+	// box is the known box that the row is about; nil if it has no address.
 	box *knownBox
-	// lostAt is when the box was first found not to be alive; zero while it is.
+	// lostAt is when the box was first found not to be alive; zero while it is alive.
 	lostAt time.Time
 }
 
-// change is what became news when the clock stood at a value.
+// change is one change of a row, with its number.
 type change struct {
 	number uint64
 	row    *entry
 }
 
-// source is a box with an open stream to this one.
+// sender is a box with an open update stream to this one.
 type sender struct {
 	peer.Sender
-	// chosen is set where that box keeps the session by its own choice.
+	// chosen is set if that box chose to keep the session itself.
 	chosen bool
 }
 
 const (
-	// keepLost is how long the row of a box that is not alive is kept, so that an
-	// older account of it is known for what it is. Sessions that last from before a
-	// cut pass on changes only, and cuts of minutes are ordinary.
+	// lostRowTTL is how long the row of a box that is not alive is kept, so that an older row
+	// of the box is recognized as such. Sessions that outlast a network partition pass on
+	// changes only, and partitions of minutes are common.
 	lostRowTTL = 10 * time.Minute
-	// newsAfter is how long a box has to be lost for its return to be news to the
-	// neighbours, though its row is as it was: they may have forgotten it meanwhile.
-	// It is far from keepLost, as boxes start to count at different times.
+	// reannounceAfter is how long a box has to be lost for its return to count as a change
+	// although its row is the same: the neighbours may have removed the row meanwhile. It is
+	// far below lostRowTTL, as boxes begin to count at different times.
 	reannounceAfter = lostRowTTL / 10
-	// mostRows bounds the rows that are kept.
+	// maxRows bounds the number of rows kept.
 	maxRows = 8192
-	// ownLeast is the least time between two changes of this box's row because of
-	// whom it hears: while a fleet starts, a box hears another one every few
-	// milliseconds, and each change crosses the fleet. Without it, each row crossed a
-	// starting fleet of 350 some ten times, 5 MB for each box.
+	// minOwnUpdateInterval is the least time between two updates of this box's row because of
+	// its senders: while a fleet starts, a box gets a new sender every few milliseconds, and
+	// each change crosses the fleet. Without this bound, each row crossed a starting fleet of
+	// 350 boxes some ten times, which is 5 MB per box.
 	minOwnUpdateInterval = 250 * time.Millisecond
 )
 
-// Configure notes what is in force at this box.
+// SetStatus sets whether this box has settings in force and whether it is leaving.
 func (v *View) SetStatus(configured, leaving bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// changeOwn makes this box's row news. The lock is held.
+// updateOwnRow updates this box's row and records the change. The lock is held.
 func (v *View) updateOwnRow(now time.Time) {
 	v.ownUpdatedAt, v.ownUpdateDue = now, time.Time{}
 	v.own.Sender = v.Self
@@ -131,7 +131,8 @@
 	v.invalidate()
 }
 
-// changeOwnSoon does so when the last change is long enough ago. The lock is held.
+// scheduleOwnUpdate has this box's row updated minOwnUpdateInterval after its last update. The
+// lock is held.
 func (v *View) scheduleOwnUpdate() {
 	v.invalidate()
 	if v.ownUpdateDue.IsZero() {
@@ -139,9 +140,9 @@
 	}
 }
 
-// Refresh has this box's row told anew where that is due. It reports whether it is news
-// for the others.
-func (v *View) Refresh(now time.Time) (news bool) {
+// Refresh updates this box's row if that is due. It reports whether the row has to be sent to
+// the others.
+func (v *View) Refresh(now time.Time) (changed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.ownUpdateDue.IsZero() || now.Before(v.ownUpdateDue) {
@@ -151,13 +152,14 @@
 	return true
 }
 
-// changed notes that other boxes may be alive than before. The lock is held.
+// invalidate records that the set of live boxes may have changed. The lock is held.
 func (v *View) invalidate() {
 	v.live = nil
 	v.version++
 }
 
-// noteNews has a row told to the neighbours. The lock is held.
+// recordChange records a change of a row, which is then sent to the neighbours. The lock is
+// held.
 func (v *View) recordChange(row *entry) {
 	v.changeCount++
 	row.lastChange = v.changeCount
@@ -171,9 +173,9 @@
 	v.log = append(v.log, change{number: v.changeCount, row: row})
 }
 
-// Hear takes what a box tells on a stream to this one. It reports whether something
-// became news for the others.
-func (v *View) HandleUpdate(from peer.Sender, state peer.State) (news bool) {
+// HandleUpdate handles a state received from a box. It reports whether there are changes to
+// send to the others.
+func (v *View) HandleUpdate(from peer.Sender, state peer.State) (changed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.ensureMaps()
@@ -200,6 +202,7 @@
 	return v.changeCount != before
 }
 
+// ensureMaps makes the zero value usable. The lock is held.
 func (v *View) ensureMaps() {
 	if v.rows == nil {
 		v.rows = map[uint64]*entry{}
@@ -208,7 +211,7 @@
 	}
 }
 
-// merge takes a row if it is newer than what is known. The lock is held.
+// merge stores a row if it is newer than the known one. The lock is held.
 func (v *View) merge(row *peer.Row, from string) {
 	if row.Incarnation == v.Self.Incarnation {
 		return
@@ -239,7 +242,7 @@
 	known.box = v.addBox(row.Sender)
 }
 
-// Silent notes that a box's last stream to this one has ended.
+// HandlePeerLost records that a box's last stream to this one has ended.
 func (v *View) HandlePeerLost(from peer.Sender) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -249,8 +252,9 @@
 	}
 }
 
-// Rows are those with news since a mark, but for what a box told itself. The first ones of a
-// stream are all: the box may have started again since it told them, and know none of them.
+// Rows returns the rows changed since a mark, except those that the box named by to sent
+// itself, and the next mark. For the first update of a stream, with mark 0, all rows are
+// returned: that box may have restarted since it sent them, and lack them all.
 func (v *View) Rows(since uint64, to string) (rows []peer.Row, mark uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -266,75 +270,75 @@
 	return rows, v.changeCount
 }
 
-// search finds the boxes that are alive: those heard here, those that they hear, and
-// so on. The lock is held.
+// findLive determines the live boxes: those with a stream to this one, those that these receive
+// updates from, and so on. The lock is held.
 func (v *View) findLive() []*entry {
 	if v.live != nil {
 		return v.live
 	}
-	for _, one := range v.rows {
-		one.alive = false
+	for _, row := range v.rows {
+		row.alive = false
 	}
 	live := make([]*entry, 0, len(v.rows))
 	byShort := make(map[uint32]*entry, len(v.rows))
-	for incarnation, one := range v.rows {
-		byShort[peer.ShortIncarnation(incarnation)] = one
+	for incarnation, row := range v.rows {
+		byShort[peer.ShortIncarnation(incarnation)] = row
 	}
-	reach := func(short uint32) {
-		if one := byShort[short]; one != nil && !one.alive {
-			one.alive = true
-			live = append(live, one)
+	markLive := func(short uint32) {
+		if row := byShort[short]; row != nil && !row.alive {
+			row.alive = true
+			live = append(live, row)
 		}
 	}
 	for incarnation := range v.senders {
-		reach(peer.ShortIncarnation(incarnation))
+		markLive(peer.ShortIncarnation(incarnation))
 	}
 	for i := 0; i < len(live); i++ {
 		for _, short := range live[i].Heard {
-			reach(short)
+			markLive(short)
 		}
 	}
 	v.live, v.accepting = live, nil
-	for _, one := range live {
-		if !one.Leaving {
-			v.accepting = append(v.accepting, one)
+	for _, row := range live {
+		if !row.Leaving {
+			v.accepting = append(v.accepting, row)
 		}
 	}
 	v.updateLost(time.Now())
 	return live
 }
 
-// noteLost notes since when boxes are lost, and what their return makes news. The lock
-// is held.
+// updateLost records since when boxes are lost, removes rows after lostRowTTL, and records the
+// return of boxes as changes. The lock is held.
 func (v *View) updateLost(now time.Time) {
-	for incarnation, one := range v.rows {
+	for incarnation, row := range v.rows {
 		switch {
-		case !one.alive && one.lostAt.IsZero():
-			one.lostAt = now
-		case !one.alive && now.Sub(one.lostAt) > lostRowTTL:
-			one.lastChange = 0
+		case !row.alive && row.lostAt.IsZero():
+			row.lostAt = now
+		case !row.alive && now.Sub(row.lostAt) > lostRowTTL:
+			row.lastChange = 0
 			delete(v.rows, incarnation)
-		case one.alive && !one.lostAt.IsZero():
-			if now.Sub(one.lostAt) > reannounceAfter {
-				v.recordChange(one)
+		case row.alive && !row.lostAt.IsZero():
+			if now.Sub(row.lostAt) > reannounceAfter {
+				v.recordChange(row)
 			}
-			one.lostAt = time.Time{}
+			row.lostAt = time.Time{}
 		}
 	}
 }
 
-// EachLive calls a function with each other box that is alive and takes work. The
-// function may keep nothing of it.
+// EachLive calls a function for each other box that is alive and accepts work. The function
+// must not keep the row.
 func (v *View) EachLive(call func(*peer.Row)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.findLive()
-	for _, one := range v.accepting {
-		call(&one.Row)
+	for _, row := range v.accepting {
+		call(&row.Row)
 	}
 }
 
-// CountLive is the number of other boxes that are alive and take work.
+// CountLive returns the number of other boxes that are alive and accept work.
 func (v *View) CountLive() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -343,16 +347,16 @@
 }
 
 const (
-	// settleTime is how long no news has to come for a starting box to believe that it
-	// knows the fleet: news crosses 300 boxes in a quarter of a second.
+	// minSettleDelay is how long no change may have come before a starting box assumes that it
+	// knows the fleet: a change crosses 300 boxes in a quarter of a second.
 	minSettleDelay = 300 * time.Millisecond
-	// settleMost is when it believes so in any case: boxes may come and go all the
-	// time.
+	// maxSettleDelay is how long after its start it assumes so in any case: boxes may come and
+	// go all the time.
 	maxSettleDelay = 3 * time.Second
 )
 
-// Settled tells whether this box, since it started, has had time to learn of the fleet.
-// One that hears nobody, though others are listed, has not: it may just be slow.
+// IsSettled reports whether this box has had time to learn of the fleet since it started. A box
+// that receives no updates although others are listed has not: it may just be slow.
 func (v *View) IsSettled(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -363,7 +367,8 @@
 	return !alone && now.Sub(v.lastChangeAt) > minSettleDelay
 }
 
-// Version rises with each change of the boxes that are alive or of what they say.
+// Version returns a number that rises with each change of the set of live boxes or of their
+// rows.
 func (v *View) Version() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/pkg/partition/assignment.go
+++ b/pkg/partition/assignment.go
@@ -10,31 +10,33 @@
 	"github.com/quaylead/quaylead/pkg/membership"
 )
 
-// Assignment shares the groups of a large pool evenly among the boxes that have most processor
-// time. By rendezvous hash alone the unluckiest of 50 boxes dispatches for five of 64 groups,
-// and takes sessions and requests of five. All boxes that know the same fleet find the same,
-// and few groups change their box when one comes or goes. The zero value is ready, and safe for
-// concurrent use.
+// Assignment distributes the groups of a large pool evenly among the boxes with the most
+// processor time. With rendezvous hashing alone, the most loaded of 50 boxes dispatches for
+// five of 64 groups, and takes the sessions and requests of all five. All boxes that know the
+// same fleet compute the same assignment, and few groups move when a box joins or leaves. The
+// zero value is ready to use and safe for concurrent use.
 type Assignment struct {
 	mu sync.Mutex
-	// large are the boxes that the groups were shared among, by hash in order.
+	// large are the boxes that the groups were distributed among, sorted by hash.
 	large []membership.Candidate
-	// first are the boxes by group; empty where all boxes count alike.
+	// assigned holds the box of each group; its elements are empty if the ranking alone
+	// decides.
 	assigned []string
 }
 
 const (
-	// largePart of the most processor time that any box has makes a large one.
+	// minLargeFraction is the fraction of the highest processor time of any box from which on a
+	// box counts as large.
 	minLargeFraction = 0.5
-	// spreadEnough is the number of large boxes for a group from which on chance alone spreads
-	// the groups well enough.
+	// minHashOnlyRatio is the number of large boxes per group from which on hashing alone
+	// spreads the groups well enough.
 	minHashOnlyRatio = 4
-	// assignSlack is how far beyond an even part of the groups a box may have: with none, one
-	// box that goes would move most of them.
+	// maxLoadFactor is how many times its even share of the groups a box may have: without
+	// slack, a single box that leaves would move most groups.
 	maxLoadFactor = 1.25
 )
 
-// Of is the box that is to dispatch for a group; empty where the ranking alone decides.
+// BoxFor returns the box that is to dispatch for a group; empty if the ranking alone decides.
 func (a *Assignment) BoxFor(service string, group, groups int, own membership.Candidate, others []membership.Candidate) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,15 +50,15 @@
 func isSameBox(a, b membership.Candidate) bool { return a.Name == b.Name && a.Cores == b.Cores }
 
 func largeBoxes(own membership.Candidate, others []membership.Candidate) (large []membership.Candidate) {
-	most := own.Cores
+	maxCores := own.Cores
 	for i := range others {
-		most = max(most, others[i].Cores)
+		maxCores = max(maxCores, others[i].Cores)
 	}
-	if own.Cores >= minLargeFraction*most {
+	if own.Cores >= minLargeFraction*maxCores {
 		large = append(large, own)
 	}
 	for i := range others {
-		if others[i].Cores >= minLargeFraction*most {
+		if others[i].Cores >= minLargeFraction*maxCores {
 			large = append(large, others[i])
 		}
 	}
@@ -66,27 +68,28 @@
 	return large
 }
 
-// assign gives each group the first box by its ranking that has not its share yet.
+// assign gives each group to the first box of its ranking that has not reached the maximum
+// number of groups.
 func assign(service string, groups int, large []membership.Candidate) []string {
-	first := make([]string, groups)
+	assigned := make([]string, groups)
 	if len(large) >= minHashOnlyRatio*groups {
-		return first
+		return assigned
 	}
-	most := int(maxLoadFactor*float64(groups)/float64(len(large))) + 1
-	taken := make([]int, len(large))
-	for group := range first {
+	maxGroups := int(maxLoadFactor*float64(groups)/float64(len(large))) + 1
+	counts := make([]int, len(large))
+	for group := range assigned {
 		key := xxhash.Sum64String(GroupName(service, group))
 		best, bestScore := -1, 0.0
 		for i := range large {
-			if taken[i] == most {
+			if counts[i] == maxGroups {
 				continue
 			}
 			if score := boxScore(key, large[i].Hash, large[i].Cores); best < 0 || score > bestScore {
 				best, bestScore = i, score
 			}
 		}
-		taken[best]++
-		first[group] = large[best].Name
+		counts[best]++
+		assigned[group] = large[best].Name
 	}
-	return first
+	return assigned
 }
--- a/pkg/partition/partition_test.go
+++ b/pkg/partition/partition_test.go
@@ -10,7 +10,7 @@
 	"github.com/quaylead/quaylead/pkg/membership"
 )
 
-// candidatesOf is a fleet in which one box in twenty is large.
+// candidatesOf returns a fleet in which one box in twenty is large.
 func candidatesOf(boxes int) (found []membership.Candidate) {
 	for i := range boxes {
 		cores := 0.192
@@ -23,7 +23,7 @@
 }
 
 func TestRank(t *testing.T) {
-	Convey("The first boxes are alike for all, wherever each stands in its list", t, func() {
+	Convey("All boxes compute the same ranking, whatever the order of their candidates", t, func() {
 		fleet := candidatesOf(400)
 		first := Rank("llm/3", fleet[0], fleet[1:])
 		So(first, ShouldHaveLength, maxRanked)
@@ -37,7 +37,8 @@
 	})
 }
 
-// TestAssignment holds how evenly groups are shared, and how few of them move.
+// TestAssignment checks that groups are distributed evenly, and that few of them move when a
+// box leaves.
 func TestAssignment(t *testing.T) {
 	of := func(fleet []membership.Candidate, groups int) []string {
 		shared := Assignment{}
@@ -47,7 +48,7 @@
 		}
 		return first
 	}
-	Convey("No box has far more groups than another, wherever each stands in the list", t, func() {
+	Convey("No box has far more groups than another, whatever the order of the candidates", t, func() {
 		fleet := candidatesOf(1000)
 		first := of(fleet, 64)
 		count := map[string]int{}
@@ -55,10 +56,10 @@
 			count[box]++
 			So(count[box], ShouldBeLessThanOrEqualTo, 2)
 		}
-		turned := append(append([]membership.Candidate{}, fleet[500:]...), fleet[:500]...)
-		So(of(turned, 64), ShouldResemble, first)
+		rotated := append(append([]membership.Candidate{}, fleet[500:]...), fleet[:500]...)
+		So(of(rotated, 64), ShouldResemble, first)
 	})
-	Convey("When a large box goes, its groups move and few others", t, func() {
+	Convey("When a large box leaves, its groups move and few others", t, func() {
 		fleet := candidatesOf(1000)
 		before := of(fleet, 64)
 		for gone := range 5 {
@@ -72,7 +73,7 @@
 			So(moved, ShouldBeLessThanOrEqualTo, 64/8)
 		}
 	})
-	Convey("A small box that goes moves nothing, and boxes that are alike are ranked by hash alone", t, func() {
+	Convey("A small box that leaves moves nothing, and boxes with equal cores are ranked by hash alone", t, func() {
 		fleet := candidatesOf(1000)
 		So(of(slices.Delete(slices.Clone(fleet), 7, 8), 64), ShouldResemble, of(fleet, 64))
 		for i := range fleet {
