--- a/pkg/registry/departures_test.go
+++ b/pkg/registry/departures_test.go
@@ -14,8 +14,8 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// An engine that had said in an answer that it leaves got requests for as long as the store
-// was away: only its row there was believed.
+// These tests guard against requests to an engine that stated in an answer that it leaves. It once
+// got requests for as long as the store was down, because only its row in the store was used.
 
 var baseTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -27,9 +27,9 @@
 	return Entry{Version: version, Endpoint: route.Endpoint{ID: "e", Address: "10.0.0.1:80", Facts: lifecycle.Facts{Born: born, Leaving: leaving}}}
 }
 
-// TestDepartureHolds draws rows, removals, and words of answers and of other boxes, in any
-// order: once an answer of a start was read, no directory has it taking requests, until a
-// later start is known.
+// TestDepartureHolds applies rows, removals, statements in answers and reports of other boxes in
+// random order. Once an answer of an instance stated that it leaves, no directory may admit
+// requests to it until a later instance is known.
 func TestDepartureHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegistry()
@@ -67,7 +67,7 @@
 			}
 			if directory := r.Directory(); directory != nil && said > 0 {
 				if known, listed := directory.Find("e"); listed && known.Born <= said && known.Admits() {
-					t.Fatalf("start %d takes requests, and start %d said that it leaves", known.Born, said)
+					t.Fatalf("instance %d admits requests though instance %d stated that it leaves", known.Born, said)
 				}
 			}
 		}
@@ -76,7 +76,7 @@
 
 func TestDepartures(t *testing.T) {
 	leaving := func(r *Registry) bool { return endpointIn(r, "e").Leaving }
-	Convey("An endpoint that says so in an answer leaves, by whatever row", t, func() {
+	Convey("An endpoint that states in an answer that it leaves counts as leaving, whatever its row says", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
@@ -88,7 +88,7 @@
 		r.applyReadNow([]Entry{rowOf(3, 0, false)}, 3, true, baseTime.Add(time.Hour))
 		So(leaving(r), ShouldBeTrue)
 	})
-	Convey("A later start takes requests, and an earlier one's word is no news to it", t, func() {
+	Convey("A later instance takes requests, and the departure of an earlier one is no news", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(1, 5, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
@@ -98,13 +98,13 @@
 		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "e", Born: 5}}, "peer", baseTime), ShouldBeFalse)
 		So(leaving(r), ShouldBeFalse)
 	})
-	Convey("A word that comes before the row holds once that is read", t, func() {
+	Convey("A departure that is reported before the row is read applies to the row", t, func() {
 		r := newRegistry()
 		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "e"}}, "peer", baseTime), ShouldBeTrue)
 		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		So(leaving(r), ShouldBeTrue)
 	})
-	Convey("Its row that goes in an outage is no lapse: it has left", t, func() {
+	Convey("A row of a leaving endpoint that goes in an outage gets no grace period", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
@@ -113,54 +113,54 @@
 		r.applyReadNow(nil, 2, true, baseTime.Add(time.Second))
 		So(r.Directory().Len(), ShouldEqual, 0)
 	})
-	Convey("Each box is told what it did not tell itself, once", t, func() {
+	Convey("Each departure is sent once to each box, but not to the one that reported it", t, func() {
 		r := newRegistry()
 		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "a"}}, "box-1", baseTime)
 		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "b", Age: time.Minute}}, "", baseTime)
-		told, mark := r.Departures(0, "box-1", baseTime.Add(time.Second))
-		So(told, ShouldResemble, []lifecycle.Departure{{Endpoint: "b", Age: time.Minute + time.Second}})
-		told, _ = r.Departures(0, "box-2", baseTime)
-		So(told, ShouldHaveLength, 2)
-		told, mark = r.Departures(mark, "box-1", baseTime)
-		So(told, ShouldBeEmpty)
+		reported, mark := r.Departures(0, "box-1", baseTime.Add(time.Second))
+		So(reported, ShouldResemble, []lifecycle.Departure{{Endpoint: "b", Age: time.Minute + time.Second}})
+		reported, _ = r.Departures(0, "box-2", baseTime)
+		So(reported, ShouldHaveLength, 2)
+		reported, mark = r.Departures(mark, "box-1", baseTime)
+		So(reported, ShouldBeEmpty)
 		r.OfferDepartures([]lifecycle.Departure{{Endpoint: "c"}}, "box-2", baseTime)
-		told, _ = r.Departures(mark, "box-1", baseTime)
-		So(told, ShouldHaveLength, 1)
+		reported, _ = r.Departures(mark, "box-1", baseTime)
+		So(reported, ShouldHaveLength, 1)
 	})
-	Convey("What no entry can concern any more is forgotten, and old words do not come back", t, func() {
+	Convey("Departures that no longer apply to an entry expire, and old ones are not recorded again", t, func() {
 		r := newRegistry()
 		for i := range 1000 {
 			r.OfferDepartures([]lifecycle.Departure{{Endpoint: fmt.Sprint(i)}}, "box-1", baseTime)
 		}
 		later := baseTime.Add(departureTTL + time.Second)
-		told, _ := r.Departures(0, "", later)
-		So(told, ShouldBeEmpty)
+		reported, _ := r.Departures(0, "", later)
+		So(reported, ShouldBeEmpty)
 		So(r.departures, ShouldBeEmpty)
 		So(r.OfferDepartures([]lifecycle.Departure{{Endpoint: "1", Age: departureTTL + time.Second}}, "box-1", later), ShouldBeFalse)
 	})
-	Convey("That of a listed endpoint is kept as long as its entry", t, func() {
+	Convey("The departure of a listed endpoint is kept as long as its entry", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
 		r.RecordDeparture(&known, baseTime)
-		told, _ := r.Departures(0, "", baseTime.Add(24*time.Hour))
-		So(told, ShouldHaveLength, 1)
+		reported, _ := r.Departures(0, "", baseTime.Add(24*time.Hour))
+		So(reported, ShouldHaveLength, 1)
 		r.applyReadNow([]Entry{rowOf(2, 0, false)}, 2, false, baseTime.Add(24*time.Hour))
 		So(leaving(r), ShouldBeTrue)
 	})
 }
 
-// TestLateRowDoesNotUndoLeaving guards against requests to an endpoint that leaves, where an older
-// word of it is written after the one that says so.
+// TestLateRowDoesNotUndoLeaving guards against requests to an endpoint that leaves, if an older
+// state of it is written after the one that says so.
 func TestLateRowDoesNotUndoLeaving(t *testing.T) {
-	Convey("A row of the same start that says otherwise changes nothing, and one of a later start does", t, func() {
+	Convey("A contradicting row of the same instance changes nothing, and one of a later instance does", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(1, 7, false)}, 1, true, baseTime)
 		r.applyReadNow([]Entry{rowOf(2, 7, true)}, 2, false, baseTime)
 		r.applyReadNow([]Entry{rowOf(3, 7, false)}, 3, false, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeTrue)
-		told, _ := r.Departures(0, "", baseTime)
-		So(told, ShouldHaveLength, 1)
+		reported, _ := r.Departures(0, "", baseTime)
+		So(reported, ShouldHaveLength, 1)
 		r.applyReadNow([]Entry{rowOf(4, 8, false)}, 4, false, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeFalse)
 	})
--- a/pkg/registry/divergence_test.go
+++ b/pkg/registry/divergence_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestDivergenceEnds guards against endpoints that a box uses for ever though the store does not list
-// them, whatever the cause.
+// TestDivergenceEnds guards against endpoints that a box uses for ever though the store does not
+// list them, whatever the cause.
 func TestDivergenceEnds(t *testing.T) {
 	Convey("Of boxes that know the same version", t, func() {
 		now := time.Now()
@@ -17,39 +17,39 @@
 		for _, box := range []*Registry{right, wrong} {
 			box.applyReadNow(listed, 9, true, now)
 		}
-		hear := func() {
+		exchange := func() {
 			right.ReceiveKnowledge(wrong.Knowledge(), wrong.NewestVersion())
 			wrong.ReceiveKnowledge(right.Knowledge(), right.NewestVersion())
 		}
-		hear()
+		exchange()
 		So(right.needsOwnRead(now.Add(time.Minute)), ShouldBeFalse)
 		So(wrong.needsOwnRead(now.Add(time.Minute)), ShouldBeFalse)
 		wrong.update(now, func() bool {
 			wrong.put(Entry{Endpoint: endpointOf("left"), Version: 3})
 			return true
 		})
-		hear()
-		Convey("the one that is wrong finds out by a reading of all, in the time for leaving", func() {
+		exchange()
+		Convey("the wrong one finds out by a full read, within the delay for leaving", func() {
 			So(wrong.isDivergent(now.Add(defaultMaxLeavingDelay)), ShouldBeTrue)
 			wrong.applyReadNow(listed, 9, true, now)
 			So(has(wrong, "left"), ShouldBeFalse)
-			hear()
+			exchange()
 			So(wrong.needsOwnRead(now.Add(time.Minute)), ShouldBeFalse)
 		})
-		Convey("nor does it try again at once where the store is lost", func() {
+		Convey("the wrong one does not retry at once while the store is down", func() {
 			wrong.recordEndpointsFailure(errStoreDown)
 			So(wrong.needsOwnRead(time.Now().Add(minDivergenceBackoff/2)), ShouldBeFalse)
 			So(wrong.needsOwnRead(time.Now().Add(minDivergenceBackoff+time.Second)), ShouldBeTrue)
 		})
-		Convey("the other one reads all as well, and then ever more seldom", func() {
+		Convey("the other one does a full read as well, and then ever less often", func() {
 			for rest := minDivergenceBackoff; rest < maxDivergenceBackoff; rest *= 2 {
 				So(right.isDivergent(now.Add(time.Hour)), ShouldBeTrue)
 				right.applyReadNow(listed, 9, true, time.Now())
 				So(right.divergence.backoff, ShouldBeGreaterThanOrEqualTo, rest)
-				hear()
+				exchange()
 				So(right.isDivergent(now.Add(time.Hour)), ShouldBeFalse)
 				right.divergence.ignoredUntil = time.Time{}
-				hear()
+				exchange()
 			}
 		})
 	})
--- a/pkg/registry/follow_test.go
+++ b/pkg/registry/follow_test.go
@@ -15,7 +15,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// callsOf counts the calls of a store that fakeStore serves.
+// countingStore counts the calls of a fakeStore.
 type countingStore struct {
 	*fakeStore
 	catalog, endpoints atomic.Int64
@@ -36,16 +36,16 @@
 	return c.fakeStore.EndpointsSince(ctx, version)
 }
 
-// TestFollowing holds which boxes call the store, and when.
+// TestFollowing checks which boxes call the store, and when.
 func TestFollowing(t *testing.T) {
 	type box struct {
 		*Registry
 		store                  *countingStore
 		follows, lostElsewhere atomic.Bool
-		// lost has room for all that a case is told.
+		// lost has room for all reports of a case.
 		lost chan bool
 	}
-	told := func(b *box) {
+	inform := func(b *box) {
 		b.OfferCatalog([]byte("version 1"), "box-2")
 		b.OfferEntries([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, route.Knowledge{Known: 1, Base: 1, Looks: 1}, "box-2")
 	}
@@ -55,23 +55,23 @@
 		before bool
 		run    func(*box)
 	}{
-		{"a box that is told all calls only to be found", false, func(b *box) {
-			told(b)
+		{"a box that receives the state calls the store only for the list of boxes", false, func(b *box) {
+			inform(b)
 			time.Sleep(time.Minute)
 			So(b.store.catalog.Load()+b.store.endpoints.Load(), ShouldEqual, 0)
 		}},
-		{"a box that nobody tells anything looks for itself", false, func(b *box) {
+		{"a box that receives nothing reads the store itself", false, func(b *box) {
 			time.Sleep(firstStartTimeout + time.Second + 2*followCheckInterval)
 			So(b.Catalog(), ShouldNotBeNil)
 			So(has(b.Registry, "a"), ShouldBeTrue)
 		}},
-		{"a box of a fleet that has run before looks at once", true, func(b *box) {
+		{"a box of a fleet that has run before reads at once", true, func(b *box) {
 			time.Sleep(10 * time.Millisecond)
 			So(b.Catalog(), ShouldNotBeNil)
 			So(has(b.Registry, "a"), ShouldBeTrue)
 		}},
-		{"a box that takes over reads on from what it was told", false, func(b *box) {
-			told(b)
+		{"a box that takes over continues from the version that it received", false, func(b *box) {
+			inform(b)
 			time.Sleep(time.Minute)
 			b.store.change(func(s *fakeState) { s.remove("a", 2) })
 			b.follows.Store(true)
@@ -79,8 +79,8 @@
 			So(has(b.Registry, "a"), ShouldBeFalse)
 			So(b.Knowledge().Known, ShouldEqual, 2)
 		}},
-		{"one that takes over from boxes that had lost the store keeps what lapsed there for a while", false, func(b *box) {
-			told(b)
+		{"one that takes over from boxes that had lost the store keeps removed entries for a grace period", false, func(b *box) {
+			inform(b)
 			time.Sleep(time.Minute)
 			b.store.change(func(s *fakeState) { s.remove("a", 2) })
 			b.lostElsewhere.Store(true)
@@ -90,7 +90,7 @@
 			time.Sleep(2 * defaultMaxLeavingDelay)
 			So(has(b.Registry, "a"), ShouldBeFalse)
 		}},
-		{"the others are told when its calls fail, and when they work again", false, func(b *box) {
+		{"it reports when its calls fail, and when they succeed again", false, func(b *box) {
 			b.follows.Store(true)
 			time.Sleep(5 * time.Second)
 			b.store.change(func(s *fakeState) { s.failing = true })
@@ -133,17 +133,16 @@
 	}
 }
 
-// What happened in a fault soak: two of five boxes sent requests to endpoints that had ended
-// for the 12 s until it was over. They did not follow the store, and all others had started
-// after what these two knew, so none of them could tell what went in between. A box whom
-// nobody can serve has to look by itself.
-//
-// The cause: what others told that was of no use was passed over without a trace, and only a
-// box that knew nothing at all looked though others follow. The evidence: with nothing else
-// changed than that it looks within a second, the endpoint that came is known.
+// TestUnservedBoxLooks guards against a box that waits for ever for changes that no other box can
+// supply. In a fault soak, two of five boxes sent requests for 12 s, until it was over, to endpoints
+// that had ended: they did not follow the store, and the state of all the others began after the
+// version that these two knew, so that no box could send them the changes in between. Reports
+// without use were dropped silently, and only a box without any state read the store while others
+// followed it. With no other change than that such a box reads the store within a second, it finds
+// the new endpoint.
 func TestUnservedBoxLooks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A box that the others can not tell what it lacks looks at the store", t, func() {
+		Convey("A box that lacks changes which no other box can supply reads the store", t, func() {
 			store := &countingStore{fakeStore: &fakeStore{state: fakeState{config: []byte("version 1")}}}
 			r := &Registry{
 				Store: store, Log: zap.NewNop(), FirstStart: true,
@@ -158,7 +157,7 @@
 			r.OfferEntries([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, route.Knowledge{Known: 1, Base: 1, Looks: 1}, "box-2")
 			time.Sleep(time.Minute)
 			store.change(func(s *fakeState) { s.remove("a", 2); s.put("b", 3) })
-			// It started later, with a whole reading, and tells again and again.
+			// The other box started later, with a full read, and reports its knowledge repeatedly.
 			later := route.Knowledge{Known: 3, Base: 3, Looks: 2}
 			for range 20 {
 				r.ReceiveKnowledge(later, 3)
--- a/pkg/registry/grace_test.go
+++ b/pkg/registry/grace_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestLapseOfSecondRemovalIsTold(t *testing.T) {
-	Convey("A box that knew the entry between two removals is told that it is gone", t, func() {
+	Convey("A box that knew the entry between two removals learns that it is gone", t, func() {
 		r, other := newRegistry(), newRegistry()
 		now := baseTime
 		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, now)
@@ -24,14 +24,14 @@
 		r.applyReadNow([]Entry{gone}, 7, false, now)
 		r.update(now.Add(time.Minute), func() bool { return false })
 		So(has(r, "a"), ShouldBeFalse)
-		entries, then, _ := r.EntriesSince(other.Knowledge().Known)
-		other.OfferEntries(valuesOf(entries), then, "r")
+		entries, knowledge, _ := r.EntriesSince(other.Knowledge().Known)
+		other.OfferEntries(valuesOf(entries), knowledge, "r")
 		So(has(other, "a"), ShouldBeFalse)
 	})
 }
 
 func TestLapseIsToldWithWhatWasHeardMeanwhile(t *testing.T) {
-	Convey("A box that heard more while an entry lapses tells both, and each box drops it in time", t, func() {
+	Convey("A box that receives more during a grace period passes on both, and each box drops the entry in time", t, func() {
 		r, informed, late := newRegistry(), newRegistry(), newRegistry()
 		now := time.Now()
 		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, now)
@@ -50,27 +50,28 @@
 	})
 }
 
-// TestLapseKeepsTheLaterStart guards against an endpoint that goes back to an earlier start as it lapses.
+// TestLapseKeepsTheLaterStart guards against an endpoint that falls back to an earlier instance as
+// its grace period begins.
 func TestLapseKeepsTheLaterStart(t *testing.T) {
-	Convey("What is known of the endpoint here stays, with the earlier of two ends", t, func() {
+	Convey("The known state of the endpoint stays, with the earlier of two ends of the grace period", t, func() {
 		r := newRegistry()
 		now := time.Now()
 		r.applyReadNow([]Entry{bornAt("a", 5, 8)}, 5, true, now)
-		told := bornAt("a", 6, 7)
-		told.GraceEnd = now.Add(time.Second)
-		r.OfferEntries([]Entry{told}, route.Knowledge{Known: 6, Base: 1}, "peer")
+		reported := bornAt("a", 6, 7)
+		reported.GraceEnd = now.Add(time.Second)
+		r.OfferEntries([]Entry{reported}, route.Knowledge{Known: 6, Base: 1}, "peer")
 		So(endpointIn(r, "a").Born, ShouldEqual, 8)
-		told.Version, told.GraceEnd = 9, now.Add(time.Minute)
-		r.OfferEntries([]Entry{told}, route.Knowledge{Known: 9, Base: 1}, "peer")
+		reported.Version, reported.GraceEnd = 9, now.Add(time.Minute)
+		r.OfferEntries([]Entry{reported}, route.Knowledge{Known: 9, Base: 1}, "peer")
 		r.update(now.Add(2*time.Second), func() bool { return false })
 		So(has(r, "a"), ShouldBeFalse)
 	})
 }
 
-// TestNewsDoesNotWaitForLapses guards against departures that other boxes hear of only when nothing
-// counts as lapsed any more.
+// TestNewsDoesNotWaitForLapses guards against departures that reach other boxes only when no entry
+// is in its grace period any more.
 func TestNewsDoesNotWaitForLapses(t *testing.T) {
-	Convey("Others hear at once of an endpoint that leaves while entries lapse one after the other", t, func() {
+	Convey("Others learn at once of an endpoint that leaves while one grace period follows the other", t, func() {
 		r, other := newRegistry(), newRegistry()
 		now := time.Now()
 		var entries []Entry
@@ -99,10 +100,10 @@
 	})
 }
 
-// TestFailedCallsDoNotProlongLapses guards against endpoints that have left and are used for longer
-// with each call of the store that fails.
+// TestFailedCallsDoNotProlongLapses guards against endpoints that have left and are used for
+// longer with each failed call of the store.
 func TestFailedCallsDoNotProlongLapses(t *testing.T) {
-	Convey("What left between two looks, with failed calls in between, is not used beyond the time", t, func() {
+	Convey("An endpoint that left between two polls, with failed calls in between, is not used for too long", t, func() {
 		for _, pause := range []time.Duration{100 * time.Millisecond, time.Second, 1800 * time.Millisecond} {
 			r := newRegistry()
 			looked := time.Now()
@@ -119,7 +120,7 @@
 }
 
 func TestReplacedAccountIsPassedOver(t *testing.T) {
-	Convey("An account that comes late from a box does not bring back what has ended since", t, func() {
+	Convey("A late entry from a box does not bring back an endpoint that has ended since", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 20, true, baseTime)
 		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 30, true, baseTime)
--- a/pkg/registry/knowledge_test.go
+++ b/pkg/registry/knowledge_test.go
@@ -17,8 +17,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// TestMain fixes the seed of the properties, so that a run gives the same verdict
-// each time.
+// TestMain fixes the seed of the property tests, so that each run has the same result.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -27,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// versionedStore keeps all changes of entries, as the store's feed gives them.
+// versionedStore keeps the latest change of each entry, as the store's feed returns it.
 type versionedStore struct {
 	version epoch.Version
 	entries map[string]Entry
@@ -51,7 +50,7 @@
 	return changed
 }
 
-// whole leaves out what is gone, as the store does.
+// present returns the entries without removed ones, as a full read of the store does.
 func (s *versionedStore) present() (present []Entry) {
 	for _, entry := range s.entries {
 		if !entry.Gone {
@@ -69,26 +68,27 @@
 	return endpoints
 }
 
-// reader is a box that looks at the store and tells others.
+// testBox is a box that polls the store and informs others.
 type testBox struct {
 	*Registry
 	since epoch.Version
 }
 
-func (r *testBox) poll(store *versionedStore, whole bool) {
+func (r *testBox) poll(store *versionedStore, full bool) {
 	entries := store.since(r.since)
-	if whole || r.since == 0 {
+	if full || r.since == 0 {
 		entries = store.present()
 	}
-	r.applyReadNow(entries, store.version, whole || r.since == 0, time.Now())
+	r.applyReadNow(entries, store.version, full || r.since == 0, time.Now())
 	r.since = store.version
 }
 
-// hear takes what another box tells, as boxes do: what changed is asked for.
+// receive takes the state of another box the way boxes do: it requests entries only if some
+// changed.
 func (r *testBox) receive(other *testBox) {
 	if _, ask := r.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); ask {
-		entries, then, _ := other.EntriesSince(r.Position())
-		r.OfferEntries(valuesOf(entries), then, "other")
+		entries, knowledge, _ := other.EntriesSince(r.Position())
+		r.OfferEntries(valuesOf(entries), knowledge, "other")
 	}
 }
 
@@ -99,43 +99,44 @@
 	return values
 }
 
-// TestPages has a box take a table from another one in parts, while it changes there.
+// TestPages checks that a box receives a whole table in several pages while the table changes at
+// the sender.
 func TestPages(t *testing.T) {
-	Convey("A box that took all parts has the table of the one that told them", t, func() {
+	Convey("A box that received all pages has the table of the sender", t, func() {
 		newRegistry := func() *Registry {
 			return &Registry{Log: zap.NewNop(), Changed: func() {}, Polled: func() {}}
 		}
-		teller, taker := newRegistry(), newRegistry()
+		sender, receiver := newRegistry(), newRegistry()
 		const count = 5*maxPageEntries/2 + 3
 		var entries []Entry
 		for i := range count {
 			// Some share a version, as rows written at once do.
 			entries = append(entries, Entry{Endpoint: endpointOf(fmt.Sprintf("e-%d", i)), Version: epoch.Version(1 + i/3)})
 		}
-		teller.applyReadNow(entries, count, true, time.Now())
+		sender.applyReadNow(entries, count, true, time.Now())
 		since, parts := epoch.Version(0), 0
 		var all []Entry
-		then := route.Knowledge{}
+		knowledge := route.Knowledge{}
 		for more := true; more; parts++ {
-			told, known, rest := teller.EntriesSince(since)
-			for _, entry := range told {
+			page, known, rest := sender.EntriesSince(since)
+			for _, entry := range page {
 				since = max(since, entry.Version)
 			}
-			all, then = append(all, valuesOf(told)...), known
+			all, knowledge = append(all, valuesOf(page)...), known
 			if more = rest; more {
-				teller.applyReadNow([]Entry{{Endpoint: endpointOf("e-1"), Version: epoch.Version(count + parts + 1)}}, epoch.Version(count+parts+1), false, time.Now())
+				sender.applyReadNow([]Entry{{Endpoint: endpointOf("e-1"), Version: epoch.Version(count + parts + 1)}}, epoch.Version(count+parts+1), false, time.Now())
 			}
 		}
-		taker.OfferEntries(all, then, "teller")
+		receiver.OfferEntries(all, knowledge, "sender")
 		So(parts, ShouldEqual, 3)
-		So(taker.Directory().Len(), ShouldEqual, count)
-		So(taker.Directory().All(), ShouldResemble, teller.Directory().All())
-		So(taker.Knowledge().Known, ShouldEqual, teller.Knowledge().Known)
+		So(receiver.Directory().Len(), ShouldEqual, count)
+		So(receiver.Directory().All(), ShouldResemble, sender.Directory().All())
+		So(receiver.Knowledge().Known, ShouldEqual, sender.Knowledge().Known)
 	})
 }
 
-// TestDifferencesAddUp holds that a box that knows all up to the store's version, by
-// looks of its own or by differences from others, has the directory that the store has.
+// TestDifferencesAddUp checks that a box that knows all changes up to the store's version, from
+// polls of its own or from other boxes, has the same directory as the store.
 func TestDifferencesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &versionedStore{entries: map[string]Entry{}}
@@ -154,7 +155,7 @@
 			case 2:
 				store.write(id, func(e *Entry) { e.Gone = true })
 			case 3:
-				// A sign of life, or something that others wrote.
+				// A heartbeat, or a write of another client.
 				store.write(id, func(*Entry) {})
 			case 4:
 				box.poll(store, rapid.Bool().Draw(t, "whole"))
@@ -178,8 +179,8 @@
 	})
 }
 
-// TestLapsesAreTold has one box follow the store for another one. What went during an
-// outage, and does not come back, has to be dropped by both in the time for leaving.
+// TestLapsesAreTold has one box follow the store for another one. An entry that goes during an
+// outage and does not come back has to be dropped by both within MaxLeavingDelay.
 func TestLapsesAreTold(t *testing.T) {
 	const rounds = 20
 	for range rounds {
@@ -189,28 +190,28 @@
 			follower, stop := start(t, store, func(*Registry) {})
 			defer stop()
 			other := &testBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}}
-			pass := func(length time.Duration) {
+			advance := func(length time.Duration) {
 				for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 					other.receive(&testBox{Registry: follower})
 					other.update(time.Now(), func() bool { return false })
 				}
 			}
-			pass(time.Second)
+			advance(time.Second)
 			if !has(other.Registry, "a") {
-				t.Fatal("the other box was not told of the endpoint")
+				t.Fatal("the other box did not receive the endpoint")
 			}
 			store.change(func(s *fakeState) { s.failing = true })
-			pass(5 * time.Second)
+			advance(5 * time.Second)
 			store.change(func(s *fakeState) {
 				s.remove("a", 2)
 				s.failing = false
 			})
-			pass(gracePeriod / 2)
+			advance(gracePeriod / 2)
 			if !has(other.Registry, "a") {
 				t.Error("the endpoint was dropped though it may come back")
 			}
-			// The longest wait after a failure, the grace, and a look whether it is over.
-			pass(maxRetryDelay*5/4 + defaultMaxLeavingDelay - graceMargin + 2*expiryCheckInterval - gracePeriod/2)
+			// The longest delay after a failure, the grace period, and a check whether it is over.
+			advance(maxRetryDelay*5/4 + defaultMaxLeavingDelay - graceMargin + 2*expiryCheckInterval - gracePeriod/2)
 			if has(other.Registry, "a") {
 				t.Error("the other box still uses the endpoint")
 			}
@@ -218,25 +219,25 @@
 	}
 }
 
-// TestRestartedTellerHidesNoRemoval guards against endpoints that stay in use for ever where the box
-// that told of news starts again before it is asked.
+// TestRestartedTellerHidesNoRemoval guards against endpoints that stay in use for ever if the box
+// that reported changes restarts before they are requested from it.
 func TestRestartedTellerHidesNoRemoval(t *testing.T) {
-	Convey("A box that the teller can no longer serve looks for itself", t, func() {
+	Convey("A box that the sender can no longer bring up to date reads the store itself", t, func() {
 		store := &versionedStore{entries: map[string]Entry{}}
 		store.write("left", func(e *Entry) { e.Endpoint = endpointOf("left") })
-		box, teller := &testBox{Registry: newRegistry()}, &testBox{Registry: newRegistry()}
+		box, sender := &testBox{Registry: newRegistry()}, &testBox{Registry: newRegistry()}
 		box.poll(store, true)
-		teller.poll(store, true)
+		sender.poll(store, true)
 		store.write("joined", func(e *Entry) { e.Endpoint = endpointOf("joined") })
-		teller.poll(store, false)
-		_, ask := box.ReceiveKnowledge(teller.Knowledge(), teller.NewestVersion())
+		sender.poll(store, false)
+		_, ask := box.ReceiveKnowledge(sender.Knowledge(), sender.NewestVersion())
 		So(ask, ShouldBeTrue)
 
 		store.write("left", func(e *Entry) { e.Gone = true })
-		teller = &testBox{Registry: newRegistry()}
-		teller.poll(store, true)
-		entries, then, _ := teller.EntriesSince(box.Position())
-		box.OfferEntries(valuesOf(entries), then, "teller")
+		sender = &testBox{Registry: newRegistry()}
+		sender.poll(store, true)
+		entries, knowledge, _ := sender.EntriesSince(box.Position())
+		box.OfferEntries(valuesOf(entries), knowledge, "sender")
 		So(has(box.Registry, "joined"), ShouldBeTrue)
 		So(box.Knowledge().Known, ShouldBeLessThan, store.version)
 		So(box.isMissingUpdates(time.Now().Add(defaultMaxLeavingDelay)), ShouldBeTrue)
--- a/pkg/registry/outages_test.go
+++ b/pkg/registry/outages_test.go
@@ -20,35 +20,37 @@
 )
 
 const (
-	// outageHistories is the number of histories unless QUAYLEAD_FLEETS says otherwise.
+	// outageHistories is the number of histories unless QUAYLEAD_FLEETS sets another one.
 	outageHistories = 100
 	outageBoxes     = 7
-	// outageStep is the time between two moments of a history.
+	// outageStep is the time between two steps of a history.
 	outageStep = 100 * time.Millisecond
-	// outageContact is how long a box has to have been without trouble to be held to account.
+	// minStableTime is how long a box must have been without a fault before its state is checked.
 	minStableTime = 3 * time.Second
-	// outageHops is what telling takes: two answers of another box and the step after each.
+	// maxExchangeDelay is the time to pass a change on over two boxes: for each, the longest fetch
+	// and the time until the next step.
 	maxExchangeDelay = 2 * (maxFetchMilliseconds*time.Millisecond + outageStep/2)
-	// outageFetch is the longest time of such an answer, in milliseconds.
+	// maxFetchMilliseconds is the longest time that a box takes to answer another one.
 	maxFetchMilliseconds = 250
 )
 
 var errOutage = errors.New("the store is down")
 
-// outageBox is a box of a drawn fleet. It follows the store as Run does.
+// outageBox is a box of a random fleet. It follows the store as Run does.
 type outageBox struct {
 	*Registry
 	up bool
-	// downUntil is when it starts again, and refusedUntil until when the store turns it away.
+	// downUntil is when the box starts again; refusedUntil is until when the store refuses its
+	// calls.
 	downUntil, refusedUntil time.Time
-	// troubleAt is when it last had trouble of its own.
-	troubleAt  time.Time
+	// faultAt is when the box last started or was refused by the store.
+	faultAt    time.Time
 	nextPollAt time.Time
 	failures   int
 	lost       bool
 	followed   bool
 	seenPolls  int64
-	// whole marks that the store forgot the history.
+	// fullRead is set when the store has lost its history.
 	fullRead bool
 	fetches  []dueFetch
 }
@@ -58,32 +60,32 @@
 	from int
 }
 
-// outageFleet is a drawn fleet and its store.
+// outageFleet is a random fleet with its store.
 type outageFleet struct {
 	*rand.Rand
 	store versionedStore
 	boxes []*outageBox
-	// live are the servers that run and do not leave; leftAt is since when the store says of
-	// others that they leave or are gone.
+	// live are the servers that run and do not leave. leftAt is when the store first listed
+	// another server as leaving or gone.
 	live   map[string]route.Endpoint
 	leftAt map[string]time.Time
-	// downUntil is when the store is back, and troubleAt when it was last away.
-	downUntil, troubleAt time.Time
-	// later is what servers write later, and next numbers them.
+	// downUntil is when the store is back; faultAt is when it was last down.
+	downUntil, faultAt time.Time
+	// dueWrites are the pending writes of servers; next numbers new servers.
 	dueWrites []dueWrite
 	next      int
 	began     time.Time
-	// log tells the history, and broken what was found first.
+	// log describes the history; broken is the first violation found.
 	log    []string
 	broken string
 }
 
-func (f *outageFleet) draw(least, most int) int {
-	return least + f.IntN(most-least+1)
+func (f *outageFleet) draw(low, high int) int {
+	return low + f.IntN(high-low+1)
 }
 
-func (f *outageFleet) milliseconds(least, most int) time.Duration {
-	return time.Duration(f.draw(least, most)) * time.Millisecond
+func (f *outageFleet) milliseconds(low, high int) time.Duration {
+	return time.Duration(f.draw(low, high)) * time.Millisecond
 }
 
 func (f *outageFleet) isDown() bool { return time.Now().Before(f.downUntil) }
@@ -99,11 +101,11 @@
 }
 
 func (f *outageFleet) begin(i int) {
-	f.record("box %d begins", i)
+	f.record("box %d starts", i)
 	f.boxes[i] = &outageBox{
 		Registry:   &Registry{Log: zap.NewNop(), Changed: func() {}},
 		up:         true,
-		troubleAt:  time.Now(),
+		faultAt:    time.Now(),
 		nextPollAt: time.Now(),
 	}
 }
@@ -112,7 +114,7 @@
 	return f.isDown() || time.Now().Before(f.boxes[i].refusedUntil)
 }
 
-// follows is as the view of the fleet has it.
+// follows is a simplified membership.View.IsFollower.
 func (f *outageFleet) follows(i int) bool {
 	reaching, lost := 0, 0
 	for _, box := range f.boxes[:i] {
@@ -154,7 +156,7 @@
 		return
 	}
 	if f.fails(i) {
-		f.record("box %d look fails", i)
+		f.record("poll of box %d fails", i)
 		box.recordEndpointsFailure(errOutage)
 		box.lost = true
 		box.nextPollAt = now.Add(min(minRetryDelay<<min(box.failures, 6), maxRetryDelay))
@@ -169,7 +171,7 @@
 	} else {
 		box.applyReadNow(f.entriesSince(since), f.store.version, false, now)
 	}
-	f.record("box %d looked since %v to %v whole %v lapsed %v known %v", i, since, f.store.version, box.fullRead, len(box.inGrace), box.Knowledge())
+	f.record("box %d polled from %v to %v: full %v, in grace %v, known %v", i, since, f.store.version, box.fullRead, len(box.inGrace), box.Knowledge())
 	box.fullRead = false
 	box.nextPollAt = now.Add(f.milliseconds(400, 1200))
 	box.seenPolls = box.peerPolls.Load()
@@ -198,10 +200,10 @@
 	from := box.fetches[0].from
 	box.fetches = nil
 	if other := f.boxes[from]; other.up {
-		entries, then, _ := other.EntriesSince(box.Position())
+		entries, knowledge, _ := other.EntriesSince(box.Position())
 		before := box.Knowledge()
-		box.OfferEntries(valuesOf(entries), then, "other")
-		f.record("box %d fetched from %d %d entries %v: %v to %v pos %v", i, from, len(entries), then, before, box.Knowledge(), box.Position())
+		box.OfferEntries(valuesOf(entries), knowledge, "other")
+		f.record("box %d fetched from box %d %d entries with knowledge %v: %v to %v, position %v", i, from, len(entries), knowledge, before, box.Knowledge(), box.Position())
 	}
 }
 
@@ -210,16 +212,16 @@
 		time.Sleep(outageStep)
 		now := time.Now()
 		if f.isDown() {
-			f.troubleAt = now
+			f.faultAt = now
 		}
 		due := f.dueWrites
 		f.dueWrites = nil
-		for _, one := range due {
-			if now.Before(one.at) {
-				f.dueWrites = append(f.dueWrites, one)
+		for _, w := range due {
+			if now.Before(w.at) {
+				f.dueWrites = append(f.dueWrites, w)
 				continue
 			}
-			one.write()
+			w.write()
 		}
 		for i, box := range f.boxes {
 			if !box.up {
@@ -229,7 +231,7 @@
 				continue
 			}
 			if now.Before(box.refusedUntil) {
-				box.troubleAt = now
+				box.faultAt = now
 			}
 			f.poll(i)
 			f.fetch(i)
@@ -244,7 +246,7 @@
 	}
 }
 
-// check finds boxes that send to what left longer ago than they may.
+// check finds boxes that send to endpoints for longer after their departure than allowed.
 func (f *outageFleet) check() {
 	now := time.Now()
 	for i, box := range f.boxes {
@@ -252,7 +254,7 @@
 			continue
 		}
 		if !box.divergence.due.IsZero() {
-			f.fail("box %d takes itself to differ from another one", i)
+			f.fail("box %d takes its endpoints to differ from those of another one", i)
 		}
 		for _, endpoint := range box.Directory().All() {
 			left, leaves := f.leftAt[endpoint.ID]
@@ -260,14 +262,14 @@
 				continue
 			}
 			from := left
-			if stable := f.troubleAt.Add(minStableTime); stable.After(from) {
+			if stable := f.faultAt.Add(minStableTime); stable.After(from) {
 				from = stable
 			}
-			if touch := box.troubleAt.Add(minStableTime); touch.After(from) {
-				from = touch
+			if stable := box.faultAt.Add(minStableTime); stable.After(from) {
+				from = stable
 			}
 			if late := now.Sub(from); late > defaultMaxLeavingDelay+maxExchangeDelay {
-				f.fail("box %d sends to %s, %v after it left, %v after trouble", i, endpoint.ID, now.Sub(left), late)
+				f.fail("box %d sends to %s, %v after it left, %v after the last fault", i, endpoint.ID, now.Sub(left), late)
 			}
 		}
 	}
@@ -280,7 +282,7 @@
 	f.store.write(id, func(e *Entry) { e.Gone, e.Endpoint = false, f.live[id] })
 }
 
-// leave has a server leave, with a word or without.
+// leave has a server leave. A silent one is removed without having been listed as leaving.
 func (f *outageFleet) leave(silent bool) {
 	if len(f.live) == 0 {
 		return
@@ -290,7 +292,7 @@
 	delete(f.live, id)
 	write := func() {
 		f.leftAt[id] = time.Now()
-		f.record("%s leaves, silent %v version %v", id, silent, f.store.version+1)
+		f.record("%s leaves, silent %v, version %v", id, silent, f.store.version+1)
 		f.store.write(id, func(e *Entry) { e.Gone, e.Endpoint = silent, server; e.Leaving = !silent })
 	}
 	if f.isDown() && !silent {
@@ -305,7 +307,7 @@
 	}
 }
 
-// lapse has the row of a server that lives go during an outage.
+// removeLive removes the row of a live server during an outage.
 func (f *outageFleet) removeLive() {
 	if len(f.live) == 0 || !f.isDown() {
 		return
@@ -334,7 +336,7 @@
 	return changed
 }
 
-// play draws a history and tells what broke.
+// run plays a random history and returns the first violation.
 func (f *outageFleet) run() string {
 	for i := range f.boxes {
 		f.begin(i)
@@ -393,8 +395,8 @@
 	return f.broken
 }
 
-// TestDrawnOutages guards against endpoints that are used too long after they left, in drawn
-// histories of outages, of boxes that start again and of servers that leave with a word or without.
+// TestDrawnOutages guards against endpoints that are used too long after they left, in random
+// histories of outages, of boxes that restart and of servers that leave with or without notice.
 func TestDrawnOutages(t *testing.T) {
 	histories := outageHistories
 	if asked, err := strconv.Atoi(os.Getenv("QUAYLEAD_FLEETS")); err == nil {
@@ -409,9 +411,9 @@
 				live:  map[string]route.Endpoint{}, leftAt: map[string]time.Time{},
 				boxes: make([]*outageBox, outageBoxes), began: time.Now(),
 			}
-			if why := f.run(); why != "" {
+			if violation := f.run(); violation != "" {
 				broken++
-				t.Logf("seed %d: %s; until then:\n%s", seed, why, strings.Join(f.log, "\n"))
+				t.Logf("seed %d: %s; until then:\n%s", seed, violation, strings.Join(f.log, "\n"))
 			}
 		})
 	}
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -20,24 +20,27 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// fakeState is what a test sets of a store.
+// fakeState is the state of a fakeStore.
 type fakeState struct {
 	config  []byte
 	entries []Entry
-	// evacuations are all that were ever ordered, and boxes the rows of boxes.
+	// evacuations are all orders ever written; boxes are the rows of boxes.
 	evacuations []Evacuation
 	boxes       []ListedBox
 	version     epoch.Version
-	// keepsBoxes has rows of boxes that are written kept; announced counts the writes.
+	// keepsBoxes makes the store keep written rows of boxes; announced counts these writes, in
+	// units of up to 100 rows.
 	keepsBoxes bool
 	announced  int
-	// failing makes every call fail; lost makes one feed forget its history.
+	// failing makes every call fail; historyLost makes the next read of the changes fail with
+	// ErrHistoryLost.
 	failing, historyLost bool
-	// hanging has feeds wait as long as they may and a second more, then fail.
+	// hanging makes calls that wait for changes take a second longer than their timeout and then
+	// fail.
 	hanging bool
 }
 
-// fakeStore is a store whose state and failures a test sets.
+// fakeStore is a Store whose state and failures a test sets.
 type fakeStore struct {
 	mu    sync.Mutex
 	state fakeState
@@ -77,7 +80,7 @@
 		return Declared{}, errStoreDown
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
-		// One reading for both: a change must not fall between them.
+		// Both come from the same read: a change must not fall between them.
 		now := f.now()
 		if now.version > version {
 			return now.declared(), nil
@@ -151,7 +154,7 @@
 }
 func (f *fakeStore) Close() {}
 
-// endpointIn is what the directory says of an endpoint.
+// endpointIn returns an endpoint of the directory.
 func endpointIn(r *Registry, id string) route.Endpoint {
 	found, _ := r.Directory().Find(id)
 	return found
@@ -167,7 +170,7 @@
 	return entry
 }
 
-// order writes or withdraws an order for a zone.
+// order writes or withdraws an evacuation order for a zone.
 func (s *fakeState) order(version epoch.Version, zone string, withdrawn bool, problem error) {
 	s.version = version
 	s.evacuations = append(slices.Clone(s.evacuations), Evacuation{Zone: zone, Version: version, Withdrawn: withdrawn, Problem: problem})
@@ -192,7 +195,7 @@
 	s.entries = append(s.entries, entry)
 }
 
-func start(t *testing.T, store *fakeStore, looked func(*Registry), configure ...func(*Registry)) (r *Registry, stop func()) {
+func start(t *testing.T, store *fakeStore, polled func(*Registry), configure ...func(*Registry)) (r *Registry, stop func()) {
 	t.Helper()
 	r = &Registry{
 		Store:      store,
@@ -201,7 +204,7 @@
 		FoundBoxes: func([]Box) {},
 		Peers:      func() int { return 0 },
 	}
-	r.Polled = func() { looked(r) }
+	r.Polled = func() { polled(r) }
 	for _, set := range configure {
 		set(r)
 	}
@@ -216,9 +219,9 @@
 	}
 }
 
-// takeRead takes an answer of the store that came at once.
-func (r *Registry) applyReadNow(entries []Entry, version epoch.Version, whole bool, now time.Time) (passedOver int) {
-	return r.applyRead(entries, r.Position(), version, whole, now)
+// applyReadNow applies a read of the store that took no time.
+func (r *Registry) applyReadNow(entries []Entry, version epoch.Version, full bool, now time.Time) (passedOver int) {
+	return r.applyRead(entries, r.Position(), version, full, now)
 }
 
 func has(r *Registry, id string) bool {
@@ -226,7 +229,7 @@
 	return ok
 }
 
-// nextLook is the longest time until the next look at the endpoints, with one retry.
+// maxPollDelay is the longest time until the next poll of the endpoints, with one retry.
 const maxPollDelay = time.Duration((minPollFraction+pollJitterFraction)*float64(defaultMaxLeavingDelay)) + 2*minRetryDelay
 
 func TestRegistry(t *testing.T) {
@@ -234,18 +237,18 @@
 		name string
 		run  func(*fakeStore, *Registry)
 	}{
-		{"an entry that goes is dropped at once while the store is well", func(store *fakeStore, r *Registry) {
+		{"a removed entry is dropped at once while the store is up", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.remove("a", 2) })
 			time.Sleep(maxPollDelay)
 			So(has(r, "a"), ShouldBeFalse)
 		}},
-		{"a lost history is no outage: an entry that went in the gap is dropped at once", func(store *fakeStore, r *Registry) {
+		{"a lost history is no outage: an entry removed in the gap is dropped at once", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.remove("a", 2) })
 			store.change(func(s *fakeState) { s.historyLost = true })
 			time.Sleep(maxPollDelay)
 			So(has(r, "a"), ShouldBeFalse)
 		}},
-		{"an entry that lapsed in an outage is used for two seconds more", func(store *fakeStore, r *Registry) {
+		{"an entry removed in an outage is used for two more seconds", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.failing = true })
 			time.Sleep(5 * time.Second)
 			store.change(func(s *fakeState) { s.remove("a", 2) })
@@ -255,7 +258,7 @@
 			time.Sleep(3 * time.Second)
 			So(has(r, "a"), ShouldBeFalse)
 		}},
-		{"an entry that goes when others read the store again is dropped within the time for leaving", func(store *fakeStore, r *Registry) {
+		{"an entry removed after others read the store again is dropped within the delay for leaving", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.failing = true })
 			time.Sleep(5 * time.Second)
 			store.change(func(s *fakeState) { s.failing = false })
@@ -274,19 +277,19 @@
 			time.Sleep(5 * time.Second)
 			So(has(r, "a"), ShouldBeTrue)
 		}},
-		{"what a peer calls gone is dropped also while the store is out of reach", func(store *fakeStore, r *Registry) {
+		{"an entry that a peer reports as gone is dropped even while the store is out of reach", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.failing = true })
 			time.Sleep(2 * time.Second)
 			r.OfferEntries([]Entry{{Endpoint: route.Endpoint{ID: "a"}, Version: 2, Gone: true}}, route.Knowledge{Known: 2}, "box-2")
 			So(has(r, "a"), ShouldBeFalse)
 		}},
-		{"an older account does not replace a newer one", func(store *fakeStore, r *Registry) {
+		{"an older entry does not replace a newer one", func(store *fakeStore, r *Registry) {
 			r.OfferEntries([]Entry{{Endpoint: route.Endpoint{ID: "a"}, Version: 9, Gone: true}}, route.Knowledge{Known: 9}, "box-2")
 			store.change(func(s *fakeState) { s.put("a", 5) })
 			time.Sleep(2 * time.Second)
 			So(has(r, "a"), ShouldBeFalse)
 		}},
-		{"an entry that can not be read names no endpoint, also where others lapse; the others hold, and a good one brings it back", func(store *fakeStore, r *Registry) {
+		{"a malformed entry removes its endpoint, even during an outage; the others stay, and a valid entry brings it back", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) {
 				s.put("b", 2)
 				s.failing = true
@@ -303,7 +306,7 @@
 			time.Sleep(2 * time.Second)
 			So(has(r, "a"), ShouldBeTrue)
 		}},
-		{"an entry that can not be read is told to others as gone, and a later good one as there", func(store *fakeStore, r *Registry) {
+		{"a malformed entry is sent to others as gone, and a later valid one as present", func(store *fakeStore, r *Registry) {
 			other := &testBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}}
 			follower := &testBox{Registry: r}
 			other.receive(follower)
@@ -319,7 +322,7 @@
 			other.receive(follower)
 			So(has(other.Registry, "a"), ShouldBeTrue)
 		}},
-		{"an entry of an earlier start is passed over, whatever its version", func(store *fakeStore, r *Registry) {
+		{"an entry of an earlier instance is ignored, whatever its version", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.set(bornAt("a", 2, 500)) })
 			time.Sleep(2 * time.Second)
 			So(endpointIn(r, "a").Born, ShouldEqual, 500)
@@ -330,7 +333,7 @@
 			time.Sleep(2 * time.Second)
 			So(endpointIn(r, "a").Born, ShouldEqual, 600)
 		}},
-		{"what an endpoint says of the time that it stays cold counts from the reading", func(store *fakeStore, r *Registry) {
+		{"the time for which an endpoint states that it stays cold counts from the read", func(store *fakeStore, r *Registry) {
 			cold := bornAt("a", 2, 500)
 			cold.ColdFor = 3 * time.Second
 			began := time.Now()
@@ -340,7 +343,7 @@
 			So(until, ShouldHappenOnOrAfter, began.Add(3*time.Second))
 			So(until, ShouldHappenBefore, began.Add(5*time.Second))
 		}},
-		{"an order evacuates a zone until it is withdrawn, and one that can not be read names none", func(store *fakeStore, r *Registry) {
+		{"an order evacuates a zone until it is withdrawn, and a malformed one evacuates none", func(store *fakeStore, r *Registry) {
 			evacuated := func() bool { return endpointIn(r, "a").Evacuated }
 			store.change(func(s *fakeState) { s.order(2, "zone-a", false, nil) })
 			time.Sleep(100 * time.Millisecond)
@@ -352,7 +355,7 @@
 			time.Sleep(100 * time.Millisecond)
 			So(evacuated(), ShouldBeFalse)
 		}},
-		{"an order that is missing from a whole reading was withdrawn, also where only others hold it", func(store *fakeStore, r *Registry) {
+		{"an order that is missing from a full read was withdrawn, even if only other boxes have it", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.order(2, "zone-a", false, nil) })
 			time.Sleep(100 * time.Millisecond)
 			fresh, stop := start(t, &fakeStore{state: fakeState{config: []byte("version 1"), version: 9}}, func(*Registry) {})
@@ -366,7 +369,7 @@
 			r.OfferOrders(route.Orders{Version: 8}, "box-3")
 			So(endpointIn(r, "a").Evacuated, ShouldBeTrue)
 		}},
-		{"a row of a box that can not be read hides no other", func(store *fakeStore, _ *Registry) {
+		{"a malformed row of a box does not hide the others", func(store *fakeStore, _ *Registry) {
 			store.change(func(s *fakeState) {
 				s.boxes = []ListedBox{{Box: Box{Name: "bad"}, Version: 1, Problem: errors.New("no address")}, {Box: Box{Name: "good"}, Version: 2}}
 			})
@@ -378,17 +381,17 @@
 			stop()
 			So(*found.Load(), ShouldResemble, []Box{{Name: "good"}})
 		}},
-		{"a configuration is in force within two seconds of a hanging store's return", func(store *fakeStore, r *Registry) {
+		{"a configuration is in force within two seconds after a hanging store is back", func(store *fakeStore, r *Registry) {
 			store.change(func(s *fakeState) { s.hanging = true })
 			time.Sleep(5 * time.Second)
 			store.change(func(s *fakeState) { s.hanging = false })
-			// The call that hangs was made in the outage.
+			// The call that hangs was made during the outage.
 			time.Sleep(3 * time.Second)
 			store.change(func(s *fakeState) { s.config, s.version = []byte("version 2"), 2 })
 			time.Sleep(2 * time.Second)
 			So(r.Catalog().Version, ShouldEqual, 2)
 		}},
-		{"a configuration never goes back, and one that can not be read changes nothing", func(store *fakeStore, r *Registry) {
+		{"an older or malformed configuration changes nothing", func(store *fakeStore, r *Registry) {
 			r.OfferCatalog([]byte("version 7"), "box-2")
 			r.OfferCatalog([]byte("version 6"), "box-3")
 			r.OfferCatalog([]byte("garbage"), "box-3")
@@ -412,16 +415,16 @@
 
 func TestLooksOfManyBoxes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Boxes that tell each other look at most a little more often than one, and never pause for long", t, func() {
+		Convey("Boxes that inform each other poll at most a little more often than a single one, and never pause for long", t, func() {
 			const boxes = 9
 			store := &fakeStore{state: fakeState{config: []byte("version 1")}}
 			var mu sync.Mutex
-			var looks []time.Time
+			var polls []time.Time
 			var fleet []*Registry
-			looked := func(by *Registry) {
+			polled := func(by *Registry) {
 				mu.Lock()
 				defer mu.Unlock()
-				looks = append(looks, time.Now())
+				polls = append(polls, time.Now())
 				for _, other := range fleet {
 					if other != by {
 						other.RecordPeerPoll()
@@ -429,7 +432,7 @@
 				}
 			}
 			for range boxes {
-				r, stop := start(t, store, looked)
+				r, stop := start(t, store, polled)
 				defer stop()
 				mu.Lock()
 				fleet = append(fleet, r)
@@ -437,7 +440,7 @@
 			}
 			time.Sleep(10 * time.Minute)
 			mu.Lock()
-			seen := slices.Clone(looks)
+			seen := slices.Clone(polls)
 			mu.Unlock()
 			for i := 1; i < len(seen); i++ {
 				So(seen[i].Sub(seen[i-1]), ShouldBeLessThan, 1500*time.Millisecond)
@@ -447,9 +450,9 @@
 	})
 }
 
-// TestLooksAfterOwnOutage has some boxes cut off from the store and one not. What they
-// put down to their own outage has to be found by the other one all the same, though
-// they read the store again and tell.
+// TestLooksAfterOwnOutage cuts some boxes off from the store, but not another one. That one has to
+// find a removal in time all the same, though the others attribute it to their own outage, read
+// the store again and inform it.
 func TestLooksAfterOwnOutage(t *testing.T) {
 	const cutOff, rounds = 3, 20
 	for range rounds {
--- a/pkg/registry/restored_test.go
+++ b/pkg/registry/restored_test.go
@@ -16,13 +16,13 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// restorableStore is a store that may go back to a copy. Its rows are the servers' of a drawn
-// history, which write again what was lost.
+// restorableStore is a store that can be restored from a snapshot. Its rows are those of random
+// servers, which write lost rows again.
 type restorableStore struct {
 	versionedStore
 	// servers are the states of the servers that have not ended.
 	servers map[string]route.Endpoint
-	// due is what happens later.
+	// dueWrites are the pending writes.
 	dueWrites []dueWrite
 }
 
@@ -31,14 +31,14 @@
 	write func()
 }
 
-// silence is how long after the last sign of life of a server its row goes.
+// rowTTL is how long after its server's last heartbeat a row is removed.
 const rowTTL = 3600 * time.Millisecond
 
 func (s *restorableStore) schedule(after time.Duration, write func()) {
 	s.dueWrites = append(s.dueWrites, dueWrite{at: time.Now().Add(after), write: write})
 }
 
-// tell has a server write its state, if it still has one.
+// writeState has a server write its state if it has not ended.
 func (s *restorableStore) writeState(id string) {
 	if server, lives := s.servers[id]; lives {
 		s.write(id, func(e *Entry) { e.Gone, e.Endpoint = false, server })
@@ -55,23 +55,23 @@
 	time.Sleep(length)
 	due := s.dueWrites
 	s.dueWrites = nil
-	for _, one := range due {
-		if time.Now().Before(one.at) {
-			s.dueWrites = append(s.dueWrites, one)
+	for _, w := range due {
+		if time.Now().Before(w.at) {
+			s.dueWrites = append(s.dueWrites, w)
 			continue
 		}
-		one.write()
+		w.write()
 	}
 }
 
-// copyOf is the store as it is, for restore.
+// snapshot returns a copy of the store for restore.
 func (s *restorableStore) snapshot() versionedStore {
 	return versionedStore{version: s.version, entries: maps.Clone(s.entries)}
 }
 
-// restore goes back to a copy. Servers write again within a time, and rows of those that have
-// ended go.
-func (s *restorableStore) restore(from versionedStore, again func() time.Duration) {
+// restore goes back to a snapshot. Live servers write their rows again after a time, and the rows
+// of ended ones are removed.
+func (s *restorableStore) restore(from versionedStore, rewriteDelay func() time.Duration) {
 	at := s.version.Epoch() + 1
 	s.version = epoch.Join(at, from.version.Counter())
 	s.entries = map[string]Entry{}
@@ -86,15 +86,15 @@
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
 		entry, listed := s.entries[id]
 		if !listed || entry.Gone || entry.Endpoint != s.servers[id] {
-			s.schedule(again(), func() { s.writeState(id) })
+			s.schedule(rewriteDelay(), func() { s.writeState(id) })
 		}
 	}
 }
 
-// restoredBox reads a restorableStore as the adapter does.
+// restoredBox reads a restorableStore as the platform's adapter does.
 type restoredBox struct {
 	*Registry
-	// left are the endpoints of which it has known that they leave or are gone.
+	// left are the endpoints that this box has known to leave or to be gone.
 	left map[string]bool
 }
 
@@ -113,18 +113,18 @@
 }
 
 func (b *restoredBox) receive(other *restoredBox) {
-	told, _ := other.Departures(0, "", time.Now())
-	b.OfferDepartures(told, "other", time.Now())
+	reported, _ := other.Departures(0, "", time.Now())
+	b.OfferDepartures(reported, "other", time.Now())
 	if _, ask := b.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); ask {
-		entries, then, _ := other.EntriesSince(b.Position())
-		b.OfferEntries(valuesOf(entries), then, "other")
+		entries, knowledge, _ := other.EntriesSince(b.Position())
+		b.OfferEntries(valuesOf(entries), knowledge, "other")
 	}
 }
 
-// meet has some boxes look at the store and all hear each other.
-func exchange(boxes []*restoredBox, store *restorableStore, lookers ...int) {
-	for _, looker := range lookers {
-		boxes[looker].poll(store)
+// exchange has some boxes poll the store and all boxes inform each other.
+func exchange(boxes []*restoredBox, store *restorableStore, pollers ...int) {
+	for _, poller := range pollers {
+		boxes[poller].poll(store)
 	}
 	for range boxes {
 		for i, box := range boxes {
@@ -138,8 +138,8 @@
 	}
 }
 
-// undone is an endpoint that a box sends to again though it has known that it leaves or has
-// ended.
+// readmitted returns an endpoint that a box sends to again though it has known that the endpoint
+// leaves or has ended.
 func (b *restoredBox) readmitted(store *restorableStore) string {
 	if b.Directory() == nil {
 		return ""
@@ -165,7 +165,7 @@
 	return ""
 }
 
-// undying is a test that tells no deadline, as there is none in a bubble.
+// noDeadline hides the deadline of a test, as there is none in a synctest bubble.
 type noDeadline struct{ *testing.T }
 
 func (noDeadline) Deadline() (deadline time.Time, ok bool) { return deadline, false }
@@ -176,18 +176,18 @@
 			store := &restorableStore{versionedStore: versionedStore{entries: map[string]Entry{}}, servers: map[string]route.Endpoint{}}
 			boxes := []*restoredBox{newRestoredBox(), newRestoredBox(), newRestoredBox(), newRestoredBox()}
 			copies := []versionedStore{store.snapshot()}
-			again := func() time.Duration {
+			rewriteDelay := func() time.Duration {
 				return time.Duration(rapid.IntRange(0, 1500).Draw(t, "again")) * time.Millisecond
 			}
 			check := func() {
 				for i, box := range boxes {
 					if id := box.readmitted(store); id != "" {
-						t.Fatalf("box %d sends to %s again", i, id)
+						t.Fatalf("box %d sends to %s again after it left", i, id)
 					}
 				}
 			}
-			next := 0
-			drawn := func() string {
+			nextID := 0
+			drawServer := func() string {
 				if len(store.servers) == 0 {
 					return ""
 				}
@@ -196,37 +196,37 @@
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				switch rapid.IntRange(0, 9).Draw(t, "what") {
 				case 0, 1:
-					id := fmt.Sprintf("e-%d", next)
-					next++
+					id := fmt.Sprintf("e-%d", nextID)
+					nextID++
 					store.servers[id] = route.Endpoint{ID: id, Service: "llm", Address: "10.0.0.1:80", Zone: "zone-a"}
 					store.writeState(id)
 				case 2:
-					if id := drawn(); id != "" {
+					if id := drawServer(); id != "" {
 						server := store.servers[id]
 						server.Leaving = true
 						store.servers[id] = server
 						store.writeState(id)
 					}
 				case 3:
-					if id := drawn(); id != "" {
+					if id := drawServer(); id != "" {
 						delete(store.servers, id)
 						store.remove(id)
 					}
 				case 4:
-					// Its signs of life are late.
-					if id := drawn(); id != "" {
+					// The heartbeats of a server are late.
+					if id := drawServer(); id != "" {
 						store.remove(id)
-						store.schedule(again(), func() { store.writeState(id) })
+						store.schedule(rewriteDelay(), func() { store.writeState(id) })
 					}
 				case 5:
 					copies = append(copies, store.snapshot())
 				case 6:
-					store.restore(copies[max(0, len(copies)-1-rapid.IntRange(0, 2).Draw(t, "older"))], again)
+					store.restore(copies[max(0, len(copies)-1-rapid.IntRange(0, 2).Draw(t, "older"))], rewriteDelay)
 					copies = copies[:1]
 				case 7:
 					boxes[rapid.IntRange(0, len(boxes)-1).Draw(t, "box")] = newRestoredBox()
 				default:
-					// What others wrote.
+					// Writes of other clients.
 					for range rapid.IntRange(1, 20).Draw(t, "writes") {
 						store.version++
 					}
@@ -256,7 +256,7 @@
 
 func TestRestoredRows(t *testing.T) {
 	at := func(epochs, counter uint64) epoch.Version { return epoch.Join(epochs, counter) }
-	Convey("What the copy lacks is used for as long as its server may take to write again", t, func() {
+	Convey("An entry that the copy lacks is used for as long as its server may take to write it again", t, func() {
 		for _, back := range []bool{true, false} {
 			r := newRegistry()
 			now := time.Now().Add(-time.Minute)
@@ -265,21 +265,21 @@
 			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 5)}}, at(2, 6), true, now)
 			So(has(r, "b"), ShouldBeTrue)
 			So(r.Knowledge().Known, ShouldEqual, at(2, 6))
-			taker := newRegistry()
-			entries, then, _ := r.EntriesSince(0)
-			taker.OfferEntries(valuesOf(entries), then, "teller")
-			So(has(taker, "b"), ShouldBeTrue)
+			receiver := newRegistry()
+			entries, knowledge, _ := r.EntriesSince(0)
+			receiver.OfferEntries(valuesOf(entries), knowledge, "sender")
+			So(has(receiver, "b"), ShouldBeTrue)
 			if back {
 				r.applyReadNow([]Entry{{Endpoint: endpointOf("b"), Version: at(2, 7)}}, at(2, 7), false, now.Add(time.Second))
 			}
-			taker.update(now.Add(defaultMaxLeavingDelay-graceMargin), func() bool { return false })
-			So(has(taker, "b"), ShouldBeFalse)
+			receiver.update(now.Add(defaultMaxLeavingDelay-graceMargin), func() bool { return false })
+			So(has(receiver, "b"), ShouldBeFalse)
 			r.update(now.Add(defaultMaxLeavingDelay-graceMargin), func() bool { return false })
 			So(has(r, "b"), ShouldEqual, back)
 			So(r.Knowledge().Known.Epoch(), ShouldEqual, 2)
 		}
 	})
-	Convey("One that is gone stays so for a while, or until it is written again", t, func() {
+	Convey("An entry that is gone stays so for a while, or until it is written again", t, func() {
 		for _, back := range []bool{true, false} {
 			r := newRegistry()
 			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(1, 5)}}, at(1, 5), true, baseTime)
@@ -287,11 +287,11 @@
 			r.applyReadNow([]Entry{gone}, at(1, 9), false, baseTime)
 			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 5)}}, at(2, 6), true, baseTime)
 			So(has(r, "a"), ShouldBeFalse)
-			taker := newRegistry()
-			entries, then, _ := r.EntriesSince(0)
-			taker.OfferEntries(valuesOf(entries), then, "teller")
-			So(has(taker, "a"), ShouldBeFalse)
-			So(taker.hasHeld(), ShouldBeTrue)
+			receiver := newRegistry()
+			entries, knowledge, _ := r.EntriesSince(0)
+			receiver.OfferEntries(valuesOf(entries), knowledge, "sender")
+			So(has(receiver, "a"), ShouldBeFalse)
+			So(receiver.hasHeld(), ShouldBeTrue)
 			if back {
 				r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 10)}}, at(2, 10), false, baseTime)
 				So(has(r, "a"), ShouldBeTrue)
@@ -301,7 +301,7 @@
 			So(r.hasHeld(), ShouldBeFalse)
 		}
 	})
-	Convey("A later start is taken at once, and an earlier one passed over", t, func() {
+	Convey("A later instance is used at once, and an earlier one ignored", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(at(1, 5), 7, true)}, at(1, 5), true, baseTime)
 		r.applyReadNow([]Entry{rowOf(at(2, 3), 6, false)}, at(2, 4), true, baseTime)
@@ -309,7 +309,7 @@
 		r.applyReadNow([]Entry{rowOf(at(2, 5), 8, false)}, at(2, 5), false, baseTime)
 		So(endpointIn(r, "e").Leaving, ShouldBeFalse)
 	})
-	Convey("A departure of the epoch before that comes late counts", t, func() {
+	Convey("A late departure of the previous epoch counts", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(at(2, 3), 0, false)}, at(2, 3), true, baseTime)
 		r.applyReadNow([]Entry{rowOf(at(1, 9), 0, true)}, at(1, 9), false, baseTime)
@@ -339,13 +339,13 @@
 	})
 }
 
-// TestRowsOfBoxesAreWrittenAgain has the store lose rows of boxes, all of which are known to
-// those that read it.
+// TestRowsOfBoxesAreWrittenAgain has the store lose rows of boxes that are all known to the boxes
+// that read it.
 func TestRowsOfBoxesAreWrittenAgain(t *testing.T) {
 	const followers = 20
 	for _, boxes := range []int{300, 1000} {
 		synctest.Test(t, func(t *testing.T) {
-			Convey(fmt.Sprintf("Those of %d boxes are back, and few calls were made", boxes), t, func() {
+			Convey(fmt.Sprintf("The rows of %d boxes are back after few calls", boxes), t, func() {
 				var all []Box
 				for i := range boxes {
 					all = append(all, Box{Name: fmt.Sprintf("box-%d", i), Zone: "zone-a", PeerAddress: "10.0.0.1:1"})
--- a/pkg/registry/slow_answers_test.go
+++ b/pkg/registry/slow_answers_test.go
@@ -11,14 +11,14 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// answer is one to a call of the store or of another box, which comes some time after it was made.
+// answer is a pending answer of the store or of another box.
 type answer struct {
 	box *Registry
-	// take merges it.
+	// apply merges the answer.
 	apply func()
 }
 
-// slowHistory is a drawn fleet whose calls take time.
+// slowHistory is a random history of a fleet whose calls take time.
 type slowHistory struct {
 	*rand.Rand
 	store   versionedStore
@@ -36,28 +36,28 @@
 func (h *slowHistory) box() *Registry { return h.boxes[h.IntN(len(h.boxes))] }
 
 // read has a box call the store.
-func (h *slowHistory) read(box *Registry, whole bool) {
+func (h *slowHistory) read(box *Registry, full bool) {
 	since, version := box.Position(), h.store.version
-	whole = whole || since == 0
+	full = full || since == 0
 	entries := h.store.present()
-	if !whole {
+	if !full {
 		entries = h.store.since(since)
 	}
 	h.answers = append(h.answers, answer{box: box, apply: func() {
-		box.applyRead(entries, since, version, whole, time.Now())
+		box.applyRead(entries, since, version, full, time.Now())
 	}})
 }
 
-// hear has a box hear another one, and ask it where that knows more.
+// receive has a box receive the knowledge of another one and request the entries that changed.
 func (h *slowHistory) receive(box, other *Registry) {
 	if _, ask := box.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); !ask {
 		return
 	}
 	name := slices.Index(h.boxes, other)
 	h.answers = append(h.answers, answer{box: box, apply: func() {
-		// It may have started again.
-		entries, then, _ := h.boxes[name].EntriesSince(box.Position())
-		h.answers = append(h.answers, answer{box: box, apply: func() { box.OfferEntries(valuesOf(entries), then, "other") }})
+		// The other box may have restarted.
+		entries, knowledge, _ := h.boxes[name].EntriesSince(box.Position())
+		h.answers = append(h.answers, answer{box: box, apply: func() { box.OfferEntries(valuesOf(entries), knowledge, "other") }})
 	}})
 }
 
@@ -81,9 +81,9 @@
 		h.read(h.box(), h.IntN(3) == 0)
 	case 5:
 		if h.IntN(4) == 0 {
-			again := h.IntN(len(h.boxes))
-			h.answers = slices.DeleteFunc(h.answers, func(a answer) bool { return a.box == h.boxes[again] })
-			h.boxes[again] = newRegistry()
+			restarted := h.IntN(len(h.boxes))
+			h.answers = slices.DeleteFunc(h.answers, func(a answer) bool { return a.box == h.boxes[restarted] })
+			h.boxes[restarted] = newRegistry()
 		}
 	case 6, 7, 8:
 		h.receive(h.box(), h.box())
@@ -97,14 +97,15 @@
 	}
 }
 
-// broken tells of a box that knows all up to the store's version, and has other endpoints.
+// mismatch describes a box that knows all changes up to the store's version, but has other
+// endpoints.
 func (h *slowHistory) mismatch() string {
 	for i, box := range h.boxes {
 		if box.Knowledge().Known != h.store.version || box.Directory() == nil {
 			continue
 		}
 		if !box.divergence.due.IsZero() {
-			return fmt.Sprintf("box %d takes itself to differ from another one", i)
+			return fmt.Sprintf("box %d takes its endpoints to differ from those of another one", i)
 		}
 		got := map[string]route.Endpoint{}
 		for _, endpoint := range box.Directory().All() {
@@ -118,8 +119,8 @@
 	return ""
 }
 
-// TestOldAnswersBringNothingBack guards against endpoints that have left and are used again because
-// an answer from before came late.
+// TestOldAnswersBringNothingBack guards against endpoints that have left and are used again
+// because an older answer came late.
 func TestOldAnswersBringNothingBack(t *testing.T) {
 	broken := 0
 	for seed := range uint64(slowHistories) {
@@ -129,14 +130,14 @@
 		}
 		for range slowSteps {
 			h.step()
-			if why := h.mismatch(); why != "" {
-				t.Logf("seed %d: %s", seed, why)
+			if violation := h.mismatch(); violation != "" {
+				t.Logf("seed %d: %s", seed, violation)
 				broken++
 				break
 			}
 		}
 	}
 	if broken > 0 {
-		t.Errorf("%d of %d drawn histories broken", broken, slowHistories)
+		t.Errorf("%d of %d random histories broken", broken, slowHistories)
 	}
 }
--- a/pkg/registry/start_turns_test.go
+++ b/pkg/registry/start_turns_test.go
@@ -13,7 +13,7 @@
 	"github.com/quaylead/quaylead/pkg/epoch"
 )
 
-// pagedStore takes a time for the whole table, and may turn its box away.
+// slowStore takes time for a full read and may refuse the calls of its box.
 type slowStore struct {
 	*countingStore
 	readTime time.Duration
@@ -29,7 +29,7 @@
 	return s.countingStore.Endpoints(ctx)
 }
 
-// restarted is a fleet whose boxes all start at once, though it has run before.
+// restartedFleet is a fleet that has run before and whose boxes all start at once.
 type restartedFleet struct {
 	boxes  []*Registry
 	stores []*slowStore
@@ -37,14 +37,14 @@
 
 const (
 	restartedBoxes = 100
-	// hop is how long it takes until a box that knows all has told another one.
+	// hopDelay is how long it takes until a box with the full state has informed another one.
 	hopDelay = 150 * time.Millisecond
 )
 
-func newRestartedFleet(state *fakeStore, turnedAway int) *restartedFleet {
+func newRestartedFleet(state *fakeStore, refused int) *restartedFleet {
 	f := &restartedFleet{}
 	for i := range restartedBoxes {
-		store := &slowStore{countingStore: &countingStore{fakeStore: state}, readTime: 200 * time.Millisecond, refuses: i < turnedAway}
+		store := &slowStore{countingStore: &countingStore{fakeStore: state}, readTime: 200 * time.Millisecond, refuses: i < refused}
 		f.stores = append(f.stores, store)
 		f.boxes = append(f.boxes, &Registry{
 			Store: store, Log: zap.NewNop(),
@@ -57,31 +57,32 @@
 	return f
 }
 
-// spread has each box that knows all tell a few others, hop by hop.
+// gossip has each box with the full state inform a few others, hop by hop.
 func (f *restartedFleet) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
-		var know []*Registry
+		var informed []*Registry
 		for _, box := range f.boxes {
 			if box.Directory() != nil && box.Catalog() != nil {
-				know = append(know, box)
+				informed = append(informed, box)
 			}
 		}
-		told := 0
+		sent := 0
 		for _, box := range f.boxes {
-			if told < 6*len(know) && box.Directory() == nil {
-				from := know[told%len(know)]
-				entries, then, _ := from.EntriesSince(0)
+			if sent < 6*len(informed) && box.Directory() == nil {
+				from := informed[sent%len(informed)]
+				entries, knowledge, _ := from.EntriesSince(0)
 				_, content := from.Content()
 				box.OfferCatalog(content, "other")
-				box.OfferEntries(valuesOf(entries), then, "other")
-				told++
+				box.OfferEntries(valuesOf(entries), knowledge, "other")
+				sent++
 			}
 		}
 		time.Sleep(hopDelay)
 	}
 }
 
-// play runs the fleet until all know, and tells how long that took and how many read the table.
+// run runs the fleet until all boxes have the state. It returns how long that took and how many
+// boxes read the table.
 func (f *restartedFleet) run() (took time.Duration, readers int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group := errgroup.Group{}
@@ -116,7 +117,7 @@
 	return false
 }
 
-// TestTurns holds how many boxes read the store where all start at once.
+// TestTurns checks how many boxes read the store if all start at once.
 func TestTurns(t *testing.T) {
 	newState := func() *fakeStore {
 		state := &fakeStore{state: fakeState{config: []byte("version 1")}}
@@ -125,49 +126,49 @@
 	}
 	for _, c := range []struct {
 		name       string
-		turnedAway int
-		most       int
+		refused    int
+		maxReaders int
 	}{
-		{"the first ones read, and the others are told", 0, maxStartReaders},
-		{"where the store turns the first ones away, the next ones read", maxStartReaders, 2 * maxStartReaders},
-		{"and those after them", 2 * maxStartReaders, 3 * maxStartReaders},
+		{"the first ones read and inform the others", 0, maxStartReaders},
+		{"if the store refuses the first ones, the next ones read", maxStartReaders, 2 * maxStartReaders},
+		{"if it refuses these as well, the ones after them read", 2 * maxStartReaders, 3 * maxStartReaders},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(c.name, t, func() {
-				took, readers := newRestartedFleet(newState(), c.turnedAway).run()
-				So(readers, ShouldBeLessThanOrEqualTo, c.most)
-				So(took, ShouldBeLessThan, 2*time.Second+time.Duration(c.turnedAway/maxStartReaders)*minTurnInterval)
+				took, readers := newRestartedFleet(newState(), c.refused).run()
+				So(readers, ShouldBeLessThanOrEqualTo, c.maxReaders)
+				So(took, ShouldBeLessThan, 2*time.Second+time.Duration(c.refused/maxStartReaders)*minTurnInterval)
 			})
 		})
 	}
 }
 
-// TestTurnsOfSlowStore guards against boxes that read for themselves as those before them are
-// slow, which slows the store for all.
+// TestTurnsOfSlowStore guards against boxes that read the store themselves because the boxes of a
+// lower rank are slow, which slows down the store for all.
 func TestTurnsOfSlowStore(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// takes is the time of a reading, and lost how many of the first boxes are alive and
-		// turned away.
-		takes time.Duration
-		lost  int
-		most  int
+		// readTime is the time of a full read; refused is how many of the first boxes are alive and
+		// refused by the store.
+		readTime   time.Duration
+		refused    int
+		maxReaders int
 	}{
 		{"the others wait for the first ones, however slow", 20 * time.Second, 0, maxStartReaders},
-		{"others stand in for those that the store turns away", 5 * time.Second, 3, maxStartReaders + 3},
+		{"others replace those that the store refuses", 5 * time.Second, 3, maxStartReaders + 3},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(c.name, t, func() {
 				state := &fakeStore{state: fakeState{config: []byte("version 1")}}
 				state.change(func(s *fakeState) { s.put("a", 1) })
-				f := newRestartedFleet(state, c.lost)
+				f := newRestartedFleet(state, c.refused)
 				for i, box := range f.boxes {
-					f.stores[i].readTime = c.takes
-					box.LiveAhead = func() int { return max(0, i-c.lost) }
+					f.stores[i].readTime = c.readTime
+					box.LiveAhead = func() int { return max(0, i-c.refused) }
 				}
 				took, readers := f.run()
-				So(readers, ShouldBeLessThanOrEqualTo, c.most)
-				So(took, ShouldBeLessThan, c.takes+3*time.Second)
+				So(readers, ShouldBeLessThanOrEqualTo, c.maxReaders)
+				So(took, ShouldBeLessThan, c.readTime+3*time.Second)
 			})
 		})
 	}
