--- a/pkg/gateway/model.go
+++ b/pkg/gateway/model.go
@@ -13,12 +13,12 @@
 	"github.com/quaylead/quaylead/pkg/request"
 )
 
-// defaultAim stands in for a route that states none.
+// defaultLatencyTarget applies to routes without a latency target.
 const defaultLatencyTarget = time.Second
 
-// serveModel serves a request to a service of model engines: it waits for a
-// grant, and holds the answer's head back until its first event came. Until then
-// nothing was delivered.
+// serveModel serves a request to a service of model engines: it waits for a grant and withholds
+// the head of the answer until the first event has arrived. Until then nothing has been
+// delivered to the caller, so the request can be sent to another engine.
 func (c *call) serveModel() *request.Refusal {
 	for {
 		to, refusal := c.acquire()
@@ -41,7 +41,7 @@
 	}
 }
 
-// acquire waits for an engine.
+// acquire waits until the request is granted an engine that this box can use, or refused.
 func (c *call) acquire() (to destination, refusal *request.Refusal) {
 	defer func() {
 		if refusal != nil {
@@ -75,19 +75,20 @@
 	}
 }
 
-// mostMissed is the number of engines that one request is granted by the box that dispatches and
-// that get nothing from this one, before this one decides: it knows better what is there.
+// maxUnusableGrants is the number of grants of one request that this box may have to hand back
+// before it decides on its own: its view of the engines is then newer than that of the
+// dispatcher.
 const maxUnusableGrants = 2
 
-// granted is the engine of a grant, unless it gets nothing from this box by what this box
-// knows: the grant is then handed back.
+// checkGrant returns the granted engine. If this box may not send to that engine by its own
+// view of it, it hands the grant back and reports that it is not usable.
 func (c *call) checkGrant(s *scheduler, v verdict) (to destination, usable bool) {
 	found, known := c.gateway.registry.Directory().Find(v.endpoint)
 	switch {
 	case !known || !found.Admits():
 		s.returnAbsentGrant(c.ID, v)
 	case c.gateway.rests.isResting(&found, time.Now()):
-		// The engine is well, and only this box gets nothing there.
+		// The engine works; it only asked this box for rest.
 		s.end(c.ID, dispatch.Unused{})
 	default:
 		c.log().Debug("engine granted", zap.String("Request", c.ID), zap.String("Endpoint", found.ID), zap.String("By", v.decidedBy), zap.Duration("Wait", v.wait))
@@ -104,8 +105,8 @@
 	return to, false
 }
 
-// refuseUnasked refuses at once what this box would not ask for: enough of its customer's
-// waits here already.
+// refuseLocally refuses at once a request for which this box would not ask the dispatcher,
+// because enough requests of its customer already wait here.
 func (c *call) refuseLocally() *request.Refusal {
 	p := c.gateway.pool(c.service.Name)
 	if p == nil || c.Prompt == nil {
@@ -120,10 +121,11 @@
 	return c.refuseTurned(v)
 }
 
+// dispatchRequest describes the request for the dispatcher.
 func (c *call) dispatchRequest() *dispatch.Request {
-	aim := c.route.Aim
-	if aim <= 0 {
-		aim = defaultLatencyTarget
+	latencyTarget := c.route.Aim
+	if latencyTarget <= 0 {
+		latencyTarget = defaultLatencyTarget
 	}
 	return &dispatch.Request{
 		ID:            c.ID,
@@ -131,7 +133,7 @@
 		Route:         c.route.Name,
 		Prompt:        *c.Prompt,
 		Arrived:       c.arrived,
-		LatencyTarget: aim,
+		LatencyTarget: latencyTarget,
 		Deadline:      time.Now().Add(c.remaining()),
 		Excluded:      c.excluded,
 		Zones:         c.zones,
@@ -141,6 +143,7 @@
 	}
 }
 
+// refuseTurned returns the refusal for a verdict without an engine.
 func (c *call) refuseTurned(v verdict) *request.Refusal {
 	if refusal := c.refuseQuarantined(); refusal != nil {
 		return refusal
@@ -154,7 +157,7 @@
 	return notRun(request.Overloaded, message, v.retryAfter)
 }
 
-// dispatchOutcome is what an attempt tells the pool.
+// dispatchOutcome converts the outcome of an attempt to the form that the pool takes.
 func (c *call) dispatchOutcome(how outcome) dispatch.Outcome {
 	switch how {
 	case outcomeUnused:
@@ -174,7 +177,7 @@
 
 var eventStreamType = []byte("text/event-stream")
 
-// answerModel passes an engine's answer on.
+// answerModel forwards the answer of an engine: a stream event by event, anything else whole.
 func (c *call) answerModel(to destination, reply *endpoint.Reply) error {
 	status := reply.Head.StatusCode()
 	if status == fasthttp.StatusOK && bytes.HasPrefix(reply.Head.ContentType(), eventStreamType) {
@@ -196,7 +199,7 @@
 	return nil
 }
 
-// answerStream hands the stream to the server, which reads it event by event.
+// answerStream gives the stream to the HTTP server, which reads it event by event.
 func (c *call) answerStream(to destination, reply *endpoint.Reply) error {
 	s := &stream{
 		call:      c,
@@ -219,8 +222,8 @@
 	return nil
 }
 
-// resume continues a broken stream at another engine, from the last event that
-// was passed on. The answer keeps the head of its first engine.
+// resume continues a broken stream at another engine, after the last event that was forwarded.
+// The caller has already received the head of the first engine's answer.
 func (s *stream) resume(broken error) error {
 	c := s.call
 	for {
--- a/pkg/gateway/operations_test.go
+++ b/pkg/gateway/operations_test.go
@@ -10,10 +10,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// logged finds the words of log lines at the levels that are always written.
+// logged matches the texts of log lines at the levels that are always written.
 var logged = regexp.MustCompile(`\.(?:Info|Warn|Error)\(\s*"([^"]+)"`)
 
-// published finds the names of metrics.
+// published matches the names of metrics.
 var published = regexp.MustCompile(`expvar\.Publish\("([^"]+)"`)
 
 func TestOperationsPage(t *testing.T) {
--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -16,8 +16,8 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// listed notes boxes that the store lists. A box that is missing from the list is not
-// taken for gone: the fleet tells.
+// recordListedBoxes records the boxes that the store lists. A box that is missing from the list
+// is not assumed to be gone: only its peers report that.
 func (g *Gateway) recordListedBoxes(boxes []registry.Box) {
 	for _, found := range boxes {
 		g.fleet.AddListed(peer.Sender{Box: found.Name, Zone: found.Zone, PeerAddress: found.PeerAddress, Cores: found.Cores})
@@ -25,7 +25,7 @@
 	g.wakeContacts()
 }
 
-// live are the other boxes that are alive.
+// liveBoxes returns the other boxes that are alive.
 func (g *Gateway) liveBoxes() (boxes []registry.Box) {
 	g.fleet.EachLive(func(row *peer.Row) {
 		boxes = append(boxes, registry.Box{Name: row.Box, Zone: row.Zone, PeerAddress: row.PeerAddress, Cores: row.Cores})
@@ -33,27 +33,29 @@
 	return boxes
 }
 
-// tellOwn has other boxes told at once what is in force here.
+// announceState sends the other boxes at once whether this box is configured and whether it is
+// stopping.
 func (g *Gateway) announceState() {
 	g.fleet.SetStatus(g.registry.Catalog() != nil, g.stopping.Load())
 	g.exchange.SendNow()
 }
 
-// noteStore tells the others whether this box reaches the store.
+// announceStoreState reports to the other boxes whether this box has lost the store.
 func (g *Gateway) announceStoreState(lost bool) {
 	g.fleet.SetStoreLost(lost)
 	g.exchange.SendSoon()
 }
 
 const (
-	// contactsInterval is the mean time between two choices of contacts, without news.
+	// contactsInterval is the mean time between two selections of contacts while nothing
+	// changes.
 	contactsInterval = 200 * time.Millisecond
-	// contactsLeast is the least time between two: while a fleet starts, news comes
-	// every few milliseconds.
+	// minContactsInterval is the minimum time between two selections: while a fleet starts,
+	// changes arrive every few milliseconds.
 	minContactsInterval = 30 * time.Millisecond
 )
 
-// chooseContacts has the contacts chosen anew soon.
+// wakeContacts causes maintainContacts to select the contacts again soon.
 func (g *Gateway) wakeContacts() {
 	select {
 	case g.contactsWake <- struct{}{}:
@@ -61,8 +63,8 @@
 	}
 }
 
-// keepContacts keeps sessions to the boxes that the fleet's graph asks for, and to
-// those that dispatch, until the context ends.
+// maintainContacts keeps sessions to the boxes that the fleet's graph selects and to the
+// dispatchers, until the context ends.
 func (g *Gateway) maintainContacts(ctx context.Context) error {
 	for {
 		contacts := g.fleet.Contacts(time.Now(), g.dispatchers(), g.exchange.Connected())
@@ -79,8 +81,9 @@
 	}
 }
 
-// dispatchers are the boxes that dispatch for the groups of engines, and those that
-// take over from them: a session to these stands before it is needed.
+// dispatchers returns the boxes that dispatch for the groups of engines and those that would
+// take over from them, so that sessions exist before they are needed. It includes the boxes
+// from which this one fetches the tallies of a roll-out.
 func (g *Gateway) dispatchers() (boxes []string) {
 	for _, group := range g.schedulers() {
 		boxes = append(boxes, group.wantedSessions(readyDispatchers)...)
@@ -88,11 +91,11 @@
 	return append(boxes, g.rollouts.proversToAsk()...)
 }
 
-// dispatchersReady is the number of boxes, of those that rank first for a group of
-// engines, to which a session is kept.
+// readyDispatchers is the number of top-ranked boxes of a group of engines to which a session
+// is kept.
 const readyDispatchers = 2
 
-// State tells peers what is in force here.
+// State returns what is in force on this box, for its peers.
 func (g *Gateway) State() peer.State {
 	return peer.State{
 		Leaving:   g.stopping.Load(),
@@ -111,15 +114,16 @@
 	return 0
 }
 
-// Snapshot gives peers the configuration in force.
+// Snapshot returns the configuration in force, for peers.
 func (g *Gateway) Snapshot() (revision uint64, content []byte) {
 	return g.registry.Content()
 }
 
-// Orders gives peers the operator's orders in force.
+// Orders returns the operator's orders in force, for peers.
 func (g *Gateway) Orders() *route.Orders { return g.registry.Orders() }
 
-// Directory gives peers what changed of the endpoints after a version.
+// Directory returns the changes of the endpoints since a version, for peers. Knowledge is set
+// only in the last part.
 func (g *Gateway) Directory(since uint64) *peerpb.Directory {
 	entries, then, more := g.registry.EntriesSince(epoch.Version(since))
 	directory := &peerpb.Directory{More: more}
@@ -133,10 +137,13 @@
 	return directory
 }
 
+// encodeEndpoint converts an entry to its message. An entry in its grace period is also marked
+// as gone, because boxes of earlier releases do not read LapsesIn and would use the endpoint
+// for ever.
 func encodeEndpoint(entry *registry.Entry, now time.Time) *peerpb.Endpoint {
-	lapsesIn := time.Duration(0)
+	graceLeft := time.Duration(0)
 	if !entry.GraceEnd.IsZero() {
-		lapsesIn = max(time.Microsecond, entry.GraceEnd.Sub(now))
+		graceLeft = max(time.Microsecond, entry.GraceEnd.Sub(now))
 	}
 	return &peerpb.Endpoint{
 		ID:       entry.ID,
@@ -147,24 +154,24 @@
 		Slots:    uint32(entry.Slots),
 		Release:  entry.Release,
 		Leaving:  entry.Leaving,
-		Gone:     entry.Gone || lapsesIn > 0,
+		Gone:     entry.Gone || graceLeft > 0,
 		Held:     entry.Held,
 		Born:     entry.Born,
 		ColdFor:  max(0, entry.ColdUntil.Sub(now)).Microseconds(),
-		LapsesIn: lapsesIn.Microseconds(),
+		LapsesIn: graceLeft.Microseconds(),
 	}
 }
 
-// entryOf is the reverse of endpointMessage.
+// decodeEntry is the reverse of encodeEndpoint.
 func decodeEntry(message *peerpb.Endpoint, now time.Time) registry.Entry {
-	lapsesAt := time.Time{}
+	graceEnd := time.Time{}
 	if message.LapsesIn > 0 {
-		lapsesAt = now.Add(time.Duration(message.LapsesIn) * time.Microsecond)
+		graceEnd = now.Add(time.Duration(message.LapsesIn) * time.Microsecond)
 	}
 	return registry.Entry{
 		Version:  epoch.Version(message.Version),
-		Gone:     message.Gone && lapsesAt.IsZero(),
-		GraceEnd: lapsesAt,
+		Gone:     message.Gone && graceEnd.IsZero(),
+		GraceEnd: graceEnd,
 		Held:     message.Held,
 		ColdFor:  time.Duration(message.ColdFor) * time.Microsecond,
 		Endpoint: route.Endpoint{
@@ -179,9 +186,9 @@
 	}
 }
 
-// Heard applies what a peer tells.
-func (g *Gateway) HandleUpdate(from peer.Sender, news peer.State, first bool) {
-	if g.fleet.HandleUpdate(from, news) {
+// HandleUpdate applies an update from a peer.
+func (g *Gateway) HandleUpdate(from peer.Sender, state peer.State, first bool) {
+	if g.fleet.HandleUpdate(from, state) {
 		g.exchange.SendSoon()
 		g.wakeContacts()
 	}
@@ -189,51 +196,52 @@
 		g.Logs.For(logflags.Peer).Info("peer heard", zap.String("Peer", from.Box), zap.Uint64("Incarnation", from.Incarnation))
 		g.exchange.Redial(from.Box)
 	}
-	if g.ledger.Merge(news.Ends, from.Box, time.Now()) {
+	if g.ledger.Merge(state.Ends, from.Box, time.Now()) {
 		g.exchange.SendNow()
 	}
-	if g.rollouts.applyVerdicts(news.Rollouts, time.Now()) {
+	if g.rollouts.applyVerdicts(state.Rollouts, time.Now()) {
 		g.exchange.SendNow()
 	}
-	// What is news here is told on by the change of the directory.
-	g.registry.OfferDepartures(news.Departures, from.Box, time.Now())
-	if news.Revision > g.catalogVersion() && g.catalogs.addSource(from.Box, news.Revision) {
+	// New departures change the directory, which is then reported to the other peers.
+	g.registry.OfferDepartures(state.Departures, from.Box, time.Now())
+	if state.Revision > g.catalogVersion() && g.catalogs.addSource(from.Box, state.Revision) {
 		g.work.Go(g.catalogs.run)
 	}
-	if news.Orders > g.registry.OrdersVersion() && g.orders.addSource(from.Box, uint64(news.Orders)) {
+	if state.Orders > g.registry.OrdersVersion() && g.orders.addSource(from.Box, uint64(state.Orders)) {
 		g.work.Go(g.orders.run)
 	}
-	learnt, ask := g.registry.ReceiveKnowledge(news.Knowledge, news.Directory)
-	if ask && g.directories.addSource(from.Box, uint64(news.Knowledge.Known)) {
+	learned, fetch := g.registry.ReceiveKnowledge(state.Knowledge, state.Directory)
+	if fetch && g.directories.addSource(from.Box, uint64(state.Knowledge.Known)) {
 		g.work.Go(g.directories.run)
 	}
-	if learnt {
+	if learned {
 		g.exchange.SendNow()
 	}
 }
 
-// knownVersion is the version of the store up to which all endpoints are known.
+// knownVersion returns the version of the store up to which all endpoints are known.
 func (g *Gateway) knownVersion() uint64 { return uint64(g.registry.Position()) }
 
-// ordersVersion is that of the operator's orders in force.
+// ordersVersion returns the version of the operator's orders in force.
 func (g *Gateway) ordersVersion() uint64 { return uint64(g.registry.OrdersVersion()) }
 
-// fetchCatalog takes a higher version from a peer that told of it, so that a store
-// that is out of reach does not stop its spread.
+// fetchCatalog fetches a newer configuration from a peer that reported it, so that it spreads
+// even while the store is unreachable.
 func (g *Gateway) fetchCatalog(from string, version uint64) {
 	snapshot, err := g.exchange.FetchSettingsFrom(from, version)
 	if err != nil {
 		g.Logs.For(logflags.Peer).Warn("configuration not taken from peer", zap.String("Peer", from), zap.Error(err))
 		return
 	}
-	// The orders and what is quarantined go first: a box that has a configuration serves.
+	// A box with a configuration serves requests, so the orders and the quarantine are applied
+	// first.
 	g.offerOrders(snapshot.Orders, from)
 	g.ledger.Merge(peer.DecodeEnds(snapshot.Ends), from, time.Now())
 	g.registry.OfferDepartures(peer.DecodeDepartures(snapshot.Departures), from, time.Now())
 	g.registry.OfferCatalog(snapshot.Content, from)
 }
 
-// fetchOrders takes later orders of the operator from a peer that told of them.
+// fetchOrders fetches newer orders of the operator from a peer that reported them.
 func (g *Gateway) fetchOrders(from string, _ uint64) {
 	orders, err := g.exchange.FetchOrders(from)
 	if err != nil {
@@ -249,7 +257,7 @@
 	}
 }
 
-// fetchDirectory takes what changed of the endpoints since what is known here.
+// fetchDirectory fetches the changes of the endpoints since the version known here.
 func (g *Gateway) fetchDirectory(from string, _ uint64) {
 	directory, err := g.exchange.FetchDirectory(from, g.knownVersion())
 	if err != nil {
@@ -269,7 +277,7 @@
 	return entries
 }
 
-// Silent notes that a peer's session ended.
+// HandlePeerLost records that the session to a peer ended.
 func (g *Gateway) HandlePeerLost(from peer.Sender) {
 	g.fleet.HandlePeerLost(from)
 	g.wakeContacts()
--- a/pkg/gateway/peers_test.go
+++ b/pkg/gateway/peers_test.go
@@ -9,10 +9,10 @@
 	"github.com/quaylead/quaylead/pkg/registry"
 )
 
-// TestLapsingEntryIsToldAsGone guards against boxes of an earlier release that would use an endpoint
-// for ever whose entry lapses.
+// TestLapsingEntryIsToldAsGone guards against boxes of an earlier release that would use an
+// endpoint for ever although its entry is in a grace period.
 func TestLapsingEntryIsToldAsGone(t *testing.T) {
-	Convey("An entry that lapses is gone to those that do not know of lapses", t, func() {
+	Convey("An entry in its grace period is marked as gone for boxes that do not support grace periods", t, func() {
 		now := time.Now()
 		for _, left := range []time.Duration{time.Second, -time.Second} {
 			entry := registry.Entry{Version: 3, GraceEnd: now.Add(left)}
--- a/pkg/gateway/pending.go
+++ b/pkg/gateway/pending.go
@@ -8,34 +8,38 @@
 
 // pending is a request that waits for a verdict.
 type pending struct {
-	// from is the stream that was asked; nil for this box's own pool.
+	// remote is the stream on which the dispatcher was asked; nil for the pool of this box.
 	remote *remote
-	// asked is when another box was asked, and heard is set once it said a word.
+	// askedAt is when another box was asked; responded is set by its first response.
 	askedAt   time.Time
 	responded bool
-	// queued is told that the request is in line. Capacity 1.
+	// queued signals that the request is in the queue of the dispatcher. Capacity 1.
 	queued chan struct{}
-	// decided takes the verdict. Capacity 1.
+	// decided receives the verdict. Capacity 1.
 	decided chan verdict
 }
 
-// verdict is what was decided about a request.
+// verdict is the decision on a request: a grant or a refusal.
 type verdict struct {
-	// endpoint is granted; empty means that the request is turned away.
+	// endpoint is the granted engine; empty if the request is refused.
 	endpoint   string
 	retryAfter time.Duration
 	overShare  bool
-	// resting tells that all engines that may serve the request rest or leave.
+	// noEligibleEngine is set if all engines that may serve the request rest or leave.
 	noEligibleEngine bool
-	waiting          int
-	wait, readTime   time.Duration
-	missingTokens    int
-	// by is the box that decided.
+	// waiting is the number of requests in the queue when this one was refused.
+	waiting int
+	// wait is the predicted time until the engine begins to read the prompt, and readTime the
+	// predicted time for reading it.
+	wait, readTime time.Duration
+	// missingTokens are the tokens of shared prompt parts that the engine has to read again.
+	missingTokens int
+	// decidedBy is the name of the box that decided.
 	decidedBy string
 }
 
-// settle passes a verdict to the request that waits for it. It reports whether
-// one did. The lock is held.
+// resolvePending passes a verdict to the request that waits for it. It reports whether there
+// was one. The caller holds the lock.
 func (s *scheduler) resolvePending(id string, from *remote, v verdict) bool {
 	p := s.pending[id]
 	if p == nil || p.remote != from {
@@ -46,7 +50,7 @@
 	return true
 }
 
-// forgetPending gives up waiting. A grant that came meanwhile is given back.
+// cancelPending stops waiting for a verdict. A grant that has arrived meanwhile is returned.
 func (s *scheduler) cancelPending(id string, p *pending) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/plain.go
@@ -14,8 +14,8 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// servePlain serves a request to a plain service. These never wait: their
-// endpoints are chosen by what this box sees of them.
+// servePlain serves a request to a plain service. Such requests do not queue: this box selects
+// an endpoint by its own measurements.
 func (c *call) servePlain() *request.Refusal {
 	for {
 		to, refusal := c.choosePlain()
@@ -45,15 +45,17 @@
 	}
 }
 
-// errOwnError reports an error of the endpoint's own that is not passed on.
+// errEndpointError reports an error status of the endpoint that is not forwarded.
 var errEndpointError = &unusableError{reason: "the endpoint answered with an error of its own"}
 
-// worthAnother tells that an error may be had better elsewhere.
+// canRetryElsewhere reports whether the answer is an error that another endpoint may not return
+// and the request may be repeated.
 func (c *call) canRetryElsewhere(reply *endpoint.Reply) bool {
 	return reply.Head.StatusCode() >= fasthttp.StatusInternalServerError && c.route.Repeatable &&
 		c.life.Attempts() < c.route.MaxAttempts && c.ctx.Err() == nil && c.gateway.budget.canTake(c.service.Name)
 }
 
+// settlePlain records a whole answer of a plain endpoint.
 func (c *call) settlePlain(to destination, good bool, took time.Duration) {
 	how := outcomeFailed
 	if good {
@@ -64,6 +66,8 @@
 	to.finishTimed(how, took)
 }
 
+// choosePlain selects an endpoint for a request to a plain service. The caller settles the
+// attempt through the returned destination.
 func (c *call) choosePlain() (to destination, refusal *request.Refusal) {
 	endpoints := c.gateway.registry.Directory().Of(c.service.Name)
 	if len(c.zones) > 0 {
@@ -75,7 +79,7 @@
 	endpoints = c.exposableEndpoints(endpoints)
 	chosen, state := c.gateway.health.choose(endpoints, c.excluded, c.gateway.Settings.Zone)
 	if state == nil && len(c.excluded) > 0 {
-		// All have failed this request once; one of them is better than none.
+		// Every endpoint has failed this request once; trying one again is better than refusing.
 		c.excluded = nil
 		chosen, state = c.gateway.health.choose(endpoints, nil, c.gateway.Settings.Zone)
 	}
@@ -93,8 +97,8 @@
 	}, nil
 }
 
-// refusePlain refuses a request that no endpoint takes, until the first one returns where
-// that is known.
+// refusePlain refuses a request that no endpoint takes. If all rest, it asks the caller to
+// retry when the first rest ends.
 func (c *call) refusePlain(endpoints []route.Endpoint) *request.Refusal {
 	now := time.Now()
 	if until := c.gateway.rests.firstEnd(endpoints, now); !until.IsZero() {
--- a/pkg/gateway/pool.go
+++ b/pkg/gateway/pool.go
@@ -14,51 +14,52 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// pool is the engines of one service, divided among groups so that no box has
-// to dispatch for more than it can. Every box divides them alike: an engine's
-// group follows from its ID, and a prompt goes to a group by the part that
-// decides where it is kept. A box keeps something only of the groups that its
-// own requests use, or that it dispatches for.
+// pool holds the engines of one service, partitioned into groups so that no box has to dispatch
+// for more engines than it can handle. Every box partitions them in the same way: the group of
+// an engine follows from its ID, and the group of a prompt from the part that determines its
+// placement. A box keeps state only for the groups that its own requests use or for which it
+// dispatches.
 type pool struct {
 	gateway *Gateway
 	name    string
 
 	mu sync.Mutex
-	// groups are those in use here, by number; the others are nil.
+	// groups are the groups in use on this box, by number; the others are nil.
 	groups []*scheduler
-	// weights are the engines of each group, and engines their sum.
+	// weights are the numbers of engines of the groups, and engines is their sum.
 	weights []int
 	engines int
-	// retired are groups of a larger pool, kept for what still runs there.
+	// retired are groups that a repartition removed, kept for the requests that still run
+	// there.
 	retired []*scheduler
 
 	service         route.Service
 	tokensPerSecond float64
 	assignment      partition.Assignment
 	histories       *histories
-	// directory is the one that weights and groups are in line with.
+	// directory is the version from which weights and groups were computed.
 	directory *route.Directory
-	// strayedAt is since when the number of engines asks for another number of
-	// groups; zero while it does not.
+	// mismatchSince is since when the number of engines has required another number of groups;
+	// zero while it does not.
 	mismatchSince time.Time
 }
 
 const (
-	// divideAfter is how long the number of engines has to ask for another number
-	// of groups before they are divided anew: nearly all parts of prompts are then
-	// read again elsewhere. Entries of engines that crashed stay for seconds beside
-	// those that replace them.
+	// repartitionDelay is how long the number of engines has to require another number of
+	// groups before they are repartitioned, since nearly all prompt parts then have to be read
+	// again by other engines. It outlasts the seconds in which crashed engines are still listed
+	// beside their replacements.
 	repartitionDelay = 15 * time.Second
-	// standingGroups is the number of groups up to which sessions to the boxes that
-	// dispatch for them are kept at all times. With more, a box asks each of them
-	// seldom, and has a session only while it does: sessions to all would grow with
-	// the pool at each box, and with the fleet at those that dispatch.
+	// maxPersistentGroups is the number of groups up to which sessions to their dispatchers are
+	// persistent. With more groups a box rarely asks any one of them, and opens a session only
+	// while it does: persistent sessions would grow with the pool on each box, and with the
+	// fleet on each dispatcher.
 	maxPersistentGroups = 4
-	// idleGroup is how long a group that nothing uses is kept.
+	// groupIdleTimeout is how long an unused group is kept.
 	groupIdleTimeout = 5 * time.Second
 )
 
-// begin takes the first catalog and directory.
+// start applies the first catalog and directory.
 func (p *pool) start(service route.Service, tokensPerSecond float64, directory *route.Directory) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +71,7 @@
 	p.repartition(p.groupCount(time.Now()))
 }
 
-// configure takes a new catalog.
+// configure applies a new catalog.
 func (p *pool) configure(service route.Service, tokensPerSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,16 +83,18 @@
 	}
 }
 
-// standing tells whether the pool has few groups. The lock is held.
+// isPersistent reports whether the pool has few enough groups to keep sessions to all of their
+// dispatchers. The caller holds the lock.
 func (p *pool) isPersistent() bool { return len(p.groups) <= maxPersistentGroups }
 
-// part is what a group can do of what the whole pool can. The lock is held.
+// groupTokenRate returns a group's part of the token rate of the whole pool. The caller holds
+// the lock.
 func (p *pool) groupTokenRate(group int) float64 {
 	return p.tokensPerSecond * float64(p.weights[group]) / float64(max(1, p.engines))
 }
 
-// follow takes what changed of the directory. It costs what the changes do, and a look at
-// the engines of the groups in use that they concern.
+// applyChanges applies a change of the directory. Its cost grows with the changes and with the
+// engines of the affected groups that are in use.
 func (p *pool) applyChanges(directory *route.Directory, changes []route.Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,7 +119,8 @@
 	}
 }
 
-// note counts an account of an endpoint, if it is one of the pool's. The lock is held.
+// countEndpoint adds by to the engine counts for an entry of this pool, and marks its group as
+// touched. The caller holds the lock.
 func (p *pool) countEndpoint(endpoint *route.Endpoint, by int, touched map[int]bool) {
 	if endpoint == nil || endpoint.Service != p.name || endpoint.Leaving {
 		return
@@ -127,7 +131,7 @@
 	touched[group] = true
 }
 
-// members are the engines of a group. The lock is held.
+// members returns the engines of a group. The caller holds the lock.
 func (p *pool) members(group int) (members []route.Endpoint) {
 	p.directory.EachOfGroup(p.name, group, len(p.groups), func(e *route.Endpoint) bool {
 		members = append(members, *e)
@@ -136,7 +140,8 @@
 	return members
 }
 
-// count is the number of groups. It follows the number of engines late.
+// groupCount returns the number of groups to use. It follows a change of the number of engines
+// after repartitionDelay.
 func (p *pool) groupCount(now time.Time) int {
 	wanted, current := partition.Count(p.engines), len(p.groups)
 	if wanted == current || current == 0 {
@@ -153,7 +158,7 @@
 	return wanted
 }
 
-// divide divides the engines among groups. The lock is held.
+// repartition distributes the engines over count groups. The caller holds the lock.
 func (p *pool) repartition(count int) {
 	if len(p.groups) > count {
 		p.retired = append(p.retired, slices.DeleteFunc(p.groups[count:], func(s *scheduler) bool { return s == nil })...)
@@ -177,7 +182,7 @@
 	}
 }
 
-// use returns a group, and has it begin where nothing used it. The lock is held.
+// ensureGroup returns a group and creates it if it was not in use. The caller holds the lock.
 func (p *pool) ensureGroup(i int) *scheduler {
 	group := p.groups[i]
 	if group == nil {
@@ -190,7 +195,7 @@
 	return group
 }
 
-// group is where a prompt goes.
+// groupFor returns the group to which a prompt belongs.
 func (p *pool) groupFor(req *dispatch.Request) *scheduler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,7 +207,7 @@
 	return p.ensureGroup(partition.GroupOf(req.PlacementKey(), p.weights))
 }
 
-// rest has the group of an engine know that it wants nothing from this box for a while.
+// applyRest informs the group of an engine that the engine rests from this box.
 func (p *pool) applyRest(rest lifecycle.Rest) {
 	p.mu.Lock()
 	resting, known := p.directory.Find(rest.Endpoint)
@@ -216,15 +221,15 @@
 	}
 }
 
-// current are the groups in use.
+// activeGroups returns the groups in use.
 func (p *pool) activeGroups() []*scheduler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(p.groups), func(s *scheduler) bool { return s == nil })
 }
 
-// dropIdle forgets the groups that nothing has used for a while, where there are many: what a
-// box keeps goes with its own requests.
+// dropIdleGroups removes the groups that have not been used for groupIdleTimeout, unless the
+// pool has few of them: the state of a box then depends on its own requests alone.
 func (p *pool) dropIdleGroups(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,10 +242,11 @@
 	}
 }
 
-// idleLook is the time between two looks for what is not used any more.
+// idleCheckInterval is the time between two checks for unused streams and groups.
 const idleCheckInterval = 100 * time.Millisecond
 
-// dropIdle lets go of what no request uses: streams to boxes that dispatch, and groups.
+// dropIdle closes streams to dispatchers and removes groups that no request uses, until the
+// context ends.
 func (g *Gateway) dropIdle(ctx context.Context) error {
 	interval.Every(ctx, idleCheckInterval, func() {
 		now := time.Now()
@@ -257,7 +263,7 @@
 	return nil
 }
 
-// schedulers are the groups in use of all pools.
+// schedulers returns the groups in use of all pools.
 func (g *Gateway) schedulers() (groups []*scheduler) {
 	g.mu.Lock()
 	pools := slices.Collect(maps.Values(g.pools))
@@ -268,7 +274,7 @@
 	return groups
 }
 
-// named returns a group by the name it has on the wire.
+// groupNamed returns the group with a name as used between boxes; nil if there is none.
 func (p *pool) groupNamed(name string) *scheduler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/gateway/pool_test.go
+++ b/pkg/gateway/pool_test.go
@@ -14,11 +14,11 @@
 	of := func(engines, groups int) *pool {
 		return &pool{engines: engines, groups: make([]*scheduler, groups)}
 	}
-	Convey("A new pool has as many groups as its engines ask for", t, func() {
+	Convey("A new pool has as many groups as its engines require", t, func() {
 		So(of(partition.MaxGroupEngines, 0).groupCount(start), ShouldEqual, 1)
 		So(of(partition.MaxGroupEngines+1, 0).groupCount(start), ShouldEqual, 2)
 	})
-	Convey("Engines that crashed beside those that replace them divide nothing", t, func() {
+	Convey("Crashed engines listed beside their replacements cause no repartition", t, func() {
 		p := of(2*partition.MaxGroupEngines+20, 2)
 		So(p.groupCount(start), ShouldEqual, 2)
 		So(p.groupCount(start.Add(5*time.Second)), ShouldEqual, 2)
@@ -27,7 +27,7 @@
 		p.engines = 2*partition.MaxGroupEngines + 20
 		So(p.groupCount(start.Add(20*time.Second)), ShouldEqual, 2)
 	})
-	Convey("A pool that has grown for good is divided anew, and so is one that shrank", t, func() {
+	Convey("A pool that has grown or shrunk for repartitionDelay is repartitioned", t, func() {
 		p := of(2*partition.MaxGroupEngines+20, 2)
 		So(p.groupCount(start), ShouldEqual, 2)
 		So(p.groupCount(start.Add(repartitionDelay)), ShouldEqual, 4)
--- a/pkg/gateway/rank.go
+++ b/pkg/gateway/rank.go
@@ -10,7 +10,8 @@
 	"github.com/quaylead/quaylead/pkg/partition"
 )
 
-// rank ranks the fleet anew if it changed. The lock is held.
+// rank returns the boxes in the order in which they may dispatch for the group. It ranks them
+// again only if the fleet changed. The caller holds the lock.
 func (s *scheduler) rank() []partition.Ranked {
 	g := s.gateway
 	candidates := g.fleet.Candidates(time.Now())
@@ -25,24 +26,24 @@
 	return s.ranking
 }
 
-// putFirst has a box rank first. The lock is held.
+// moveToFront ranks a box first. The caller holds the lock.
 func (s *scheduler) moveToFront(box string) {
-	at := slices.IndexFunc(s.ranking, func(one partition.Ranked) bool { return one.Name == box })
+	at := slices.IndexFunc(s.ranking, func(ranked partition.Ranked) bool { return ranked.Name == box })
 	if box == "" || at == 0 {
 		return
 	}
-	one := partition.Ranked{Name: box, Alive: true}
+	ranked := partition.Ranked{Name: box, Alive: true}
 	if at > 0 {
-		one = s.ranking[at]
+		ranked = s.ranking[at]
 		s.ranking = slices.Delete(s.ranking, at, at+1)
 	}
-	s.ranking = slices.Insert(s.ranking, 0, one)
+	s.ranking = slices.Insert(s.ranking, 0, ranked)
 }
 
-// target is the box that dispatches for the group: the first among those that live, and to
-// which there is a session where these stand at all times. A box without one is not suspect:
-// where all boxes start together, each would leave out most of the others for 1.5 s, and as
-// long several dispatch for the same engines.
+// dispatcher returns the box to ask for the group: the first live one that is not suspected
+// and, with persistent sessions, to which a session exists. A box without a session is not
+// marked as suspected: when all boxes start together, each would skip most of the others for
+// 1.5 s, and for as long several boxes would dispatch for the same engines.
 func (s *scheduler) dispatcher() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,19 +63,19 @@
 	return g.Settings.Name
 }
 
-// contested tells whether other boxes may decide for the group's engines as well: this one does
-// not rank first, whatever it thinks of the one that does. The lock is held.
+// isContested reports whether other boxes may dispatch for the group as well: this one does not
+// rank first, even if it suspects the one that does. The caller holds the lock.
 func (s *scheduler) isContested() bool {
 	g := s.gateway
 	return g.stopping.Load() || s.rank()[0].Name != g.Settings.Name
 }
 
-// mostUnheard bounds the boxes that are tried though they are only listed: after a start
-// they may all be gone.
+// maxListedOnly bounds the boxes that are tried although the store only lists them: after a
+// start they may all be gone.
 const maxListedOnly = 4
 
-// wanted are the boxes to which the group wants sessions: the first few that may dispatch,
-// where these stand at all times, and in any case the one that is asked.
+// wantedSessions returns the boxes to which the group needs sessions: the one that is asked
+// and, with persistent sessions, the first count of those that may dispatch.
 func (s *scheduler) wantedSessions(count int) (names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,7 @@
 		return names
 	}
 	now := time.Now()
-	unheard := 0
+	listedOnly := 0
 	for _, box := range s.rank() {
 		switch {
 		case count == 0:
@@ -97,10 +98,10 @@
 			continue
 		case box.Alive:
 			count--
-		case unheard == maxListedOnly:
+		case listedOnly == maxListedOnly:
 			continue
 		default:
-			unheard++
+			listedOnly++
 		}
 		if box.Name != s.gateway.Settings.Name {
 			names = append(names, box.Name)
--- a/pkg/gateway/remote.go
+++ b/pkg/gateway/remote.go
@@ -14,19 +14,21 @@
 	"github.com/quaylead/quaylead/pkg/peer/peerpb"
 )
 
-// errNoWord reports that the box that dispatches did not answer in time.
-var errNoResponse = errors.New("no word from the box that dispatches")
+// errNoResponse reports that the dispatcher did not respond in time.
+var errNoResponse = errors.New("no response from the dispatcher in time")
 
-// errHungUp reports that its stream ended while a request waited for a verdict.
-var errStreamEnded = errors.New("the box that dispatches hung up")
+// errStreamEnded reports that the stream ended while a request waited for its verdict.
+var errStreamEnded = errors.New("the stream to the dispatcher ended")
 
-// errLateWord reports that it spoke, but not to this request: it lives.
-var errLateResponse = errors.New("the word from the box that dispatches is late")
+// errLateResponse reports that the dispatcher responded to other requests but not to this one:
+// it is alive.
+var errLateResponse = errors.New("the response of the dispatcher is late")
 
-// errAbsentEngines reports that it grants engines that are not there.
-var errAbsentEngines = errors.New("the box that dispatches grants engines that are not there")
+// errAbsentEngines reports that the dispatcher grants engines that are absent.
+var errAbsentEngines = errors.New("the dispatcher grants engines that are absent")
 
-// askRemote has another box decide. An error means that it is of no use now.
+// askRemote asks another box for a verdict. An error means that this box is of no use now,
+// unless the context has ended.
 func (s *scheduler) askRemote(ctx context.Context, req *dispatch.Request, box string) (verdict, error) {
 	r, err := s.connect(ctx, box)
 	if err != nil {
@@ -78,12 +80,12 @@
 	}
 }
 
-// waitsOn tells whether a request whose word was due waits for it longer: the
-// box that dispatches has spoken to others since, or this box is itself late and
-// may not have read the word yet. Asking another box would only add to that, as
-// it has to be told all that runs. Where the request is in line already, only
-// verdicts count: a box that queues all and decides nothing is of no use, and
-// without this each request there waited a second in vain.
+// shouldKeepWaiting reports whether a request whose response is overdue waits longer: the
+// dispatcher has responded to other requests since, or this box itself is late and may not have
+// read the response yet. Asking another box would only add load, as all running requests have
+// to be reported to it. For a request that is already in the queue only verdicts count: a
+// dispatcher that queues everything and decides nothing is of no use, and without this rule
+// each request there waited for a second in vain.
 func (s *scheduler) shouldKeepWaiting(r *remote, p *pending, due time.Time, timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +94,8 @@
 	return (ownLate || r.respondedSince(p)) && now.Sub(p.askedAt) < maxResponseWait
 }
 
-// spokeSince tells whether the box said to others, since a request was asked, what
-// this one still waits for.
+// respondedSince reports whether, since a request was asked, the dispatcher sent to others what
+// this request still waits for: a first response, or a verdict.
 func (r *remote) respondedSince(p *pending) bool {
 	if p.responded {
 		return r.verdictAt.After(p.askedAt)
@@ -101,8 +103,8 @@
 	return r.respondedAt.After(p.askedAt)
 }
 
-// gaveUp notes that no word came in time, and tells whether the box spoke to other
-// requests meanwhile.
+// recordTimeout records that no response came in time. It reports whether the dispatcher
+// responded to other requests meanwhile.
 func (s *scheduler) recordTimeout(r *remote, p *pending, id string) (responded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +112,7 @@
 	return r.respondedSince(p)
 }
 
-// opening is a stream to a box that is being opened.
+// opening is a stream to another box that is being opened.
 type opening struct {
 	box string
 	// done is closed when remote or err is set.
@@ -119,9 +121,9 @@
 	err    error
 }
 
-// connect returns the stream to the box that dispatches. Requests that come while
-// it is being opened wait for the same one: of two streams that race, the one that
-// loses would be closed, and with it end what the other box holds for this one.
+// connect returns the stream to the dispatcher. Requests that arrive while it is being opened
+// wait for the same one: of two streams opened at once one would be closed sameIncarnation, and the other
+// box would drop the requests that it holds for that stream.
 func (s *scheduler) connect(ctx context.Context, box string) (*remote, error) {
 	o, open := s.startOpening(box)
 	if open != nil {
@@ -139,16 +141,17 @@
 	}
 }
 
-// openPatience bounds the wait for a stream to another box. Opening one takes a
-// round of messages on a session that stands, about a millisecond.
+// streamOpenTimeout bounds the wait for a stream to another box. With an existing session,
+// opening one takes one round trip, about a millisecond.
 const streamOpenTimeout = minResponseTimeout
 
-// reachPatience bounds the wait for a session where none stands: some rounds of messages
-// between availability zones. Two boxes that can not be reached leave time for deciding alone
-// before a request has waited for its part of the aim.
+// sessionOpenTimeout bounds the wait for a session where none exists: a few round trips between
+// availability zones. After two unreachable boxes there is still time to decide locally before
+// the request has waited for its part of the latency target.
 const sessionOpenTimeout = minResponseTimeout
 
-// openingTo returns the open stream to a box, or else the one that is being opened.
+// startOpening returns the open stream to a box, or the one that is being opened, which it
+// starts if necessary.
 func (s *scheduler) startOpening(box string) (*opening, *remote) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +170,7 @@
 	return o, nil
 }
 
-// open opens a stream, and tells the box what runs already.
+// open opens a stream and reports to the box what is already running.
 func (s *scheduler) open(o *opening) {
 	defer close(o.done)
 	stream, err := s.openStream(o.box)
@@ -190,7 +193,7 @@
 	o.remote = s.remote
 }
 
-// openStream opens a stream to a box, and a session where none stands.
+// openStream opens a stream to a box, and first a session if there is none.
 func (s *scheduler) openStream(box string) (*peer.DispatchStream, error) {
 	g := s.gateway
 	if !g.exchange.IsConnected(box) {
@@ -204,7 +207,8 @@
 	return g.exchange.OpenDispatch(box, s.groupName)
 }
 
-// adoptRemote asks a box from now on. The lock is held.
+// setRemote makes a box the dispatcher to ask, and sends it the rests, cached parts, running
+// requests and recent grants that it needs to decide. The caller holds the lock.
 func (s *scheduler) setRemote(r *remote) {
 	if s.remote != nil {
 		s.remote.stream.Close()
@@ -217,10 +221,10 @@
 			r.stream.Send(encodeRest(rest, now))
 		}
 	}
-	start := s.gateway.fleet.IncarnationOf(r.box)
-	again := start != 0 && start == s.syncedStart
-	s.syncedStart = start
-	if !again || s.persistent {
+	incarnation := s.gateway.fleet.IncarnationOf(r.box)
+	sameIncarnation := incarnation != 0 && incarnation == s.syncedIncarnation
+	s.syncedIncarnation = incarnation
+	if !sameIncarnation || s.persistent {
 		for _, kept := range s.pool.CachedParts() {
 			r.stream.Send(encodeKept(kept))
 		}
@@ -244,7 +248,7 @@
 	})
 }
 
-// hear takes verdicts until the stream breaks.
+// receiveVerdicts handles verdicts until the stream ends.
 func (s *scheduler) receiveVerdicts(r *remote) {
 	var err error
 	for err == nil {
@@ -263,6 +267,7 @@
 	}
 }
 
+// handleVerdict handles one response. A grant for which no request waits any more is returned.
 func (s *scheduler) handleVerdict(r *remote, message *peerpb.Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,7 +296,7 @@
 	}
 }
 
-// ServeDispatch decides for another box.
+// ServeDispatch dispatches for another box until its stream ends.
 func (g *Gateway) ServeDispatch(from peer.Sender, service string, stream *peer.DispatchStream) (err error) {
 	defer func() { err = trace.Wrap(err, "dispatching %s for %s", service, from.Box) }()
 	s := g.groupNamed(service)
@@ -309,8 +314,8 @@
 	}
 }
 
-// startServing gives a stream its number. What is asked on a stream is answered on
-// it and forgotten with it, whatever other streams the same box opens and closes.
+// startServing registers a stream and returns its number. What is requested on a stream is
+// answered on it and dropped with it, whatever other streams the same box opens and closes.
 func (s *scheduler) startServing(from peer.Sender, stream *peer.DispatchStream) (streamID uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,7 +330,7 @@
 	return s.lastStream
 }
 
-// groupNamed finds a group of engines by its name on the wire.
+// groupNamed returns the group of engines with a name as used between boxes.
 func (g *Gateway) groupNamed(name string) *scheduler {
 	service := name[:max(0, strings.LastIndexByte(name, '/'))]
 	p := g.pool(service)
@@ -335,7 +340,7 @@
 	return p.groupNamed(name)
 }
 
-// stopServing forgets what a box had waiting and running by a stream.
+// stopServing drops what a box had waiting and running on a stream.
 func (s *scheduler) stopServing(from peer.Sender, streamID uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -348,6 +353,7 @@
 		zap.Uint64("Stream", streamID))
 }
 
+// handle handles one message of a box that asks this one.
 func (s *scheduler) handle(streamID uint64, call *peerpb.Call, stream *peer.DispatchStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -382,8 +388,9 @@
 	s.decide()
 }
 
-// recall books what a router's requests got by another box, unless it asked this one within
-// the time that counts: what it got here is known, and would count twice. The lock is held.
+// recordServed records what the requests of a router were granted by another dispatcher. If the
+// router asked this box within the share window, its grants are already recorded here and would
+// count twice. The caller holds the lock.
 func (s *scheduler) recordServed(streamID uint64, served *peerpb.Served, now time.Time) {
 	r := s.streams[streamID]
 	if r == nil || now.Sub(s.leftAt[r.box]) < s.pool.Rules.Window {
@@ -392,6 +399,8 @@
 	s.pool.AddHistory(dispatch.GrantTotal{Customer: served.Customer, Route: served.Route, Tokens: float64(served.Tokens)}, now)
 }
 
+// handleRequest takes a request of another box: one that runs already, which has an engine, or
+// one that waits for a verdict. The caller holds the lock.
 func (s *scheduler) handleRequest(streamID uint64, message *peerpb.Ask, stream *peer.DispatchStream, now time.Time) {
 	req := decodeAsk(message, streamID, now)
 	if message.Endpoint != "" {
--- a/pkg/gateway/response_time.go
+++ b/pkg/gateway/response_time.go
@@ -2,63 +2,65 @@
 
 import "time"
 
-// wordTimes measures how long the first word of the box that dispatches takes.
-// A router that is itself late hears late: it has to wait longer before it takes
-// the other box for hanging. It is not safe for concurrent use.
+// responseTimes estimates how long dispatchers take for the first response to a request. A
+// router that is itself late also reads responses late, and has to wait longer before it
+// assumes that the dispatcher hangs. It is not safe for concurrent use.
 type responseTimes struct {
 	mean time.Duration
-	// givenUp are requests that were decided otherwise, and when they were asked;
-	// a word that comes for them all the same tells that patience was too short.
+	// timedOut are the times at which requests were asked whose response did not come in time;
+	// a response that arrives later shows that the timeout was too short.
 	timedOut map[string]time.Time
 }
 
 const (
-	// leastPatience is for a word that takes about 2 ms: a box whose processor
-	// time is a quota may stand still for most of a tenth of a second.
+	// minResponseTimeout is for responses that take about 2 ms: a box with a processor quota
+	// may be stopped for most of a tenth of a second.
 	minResponseTimeout = 80 * time.Millisecond
-	// patienceAims is the part of a request's aim, as its divisor, that a word may take at
-	// least. A box that dispatches under a flood stands still for longer than a tenth of a
-	// second now and then, and turning away from it costs far more than waiting: routers
-	// that turn to another box and back hand over all that runs and is kept, and two boxes
-	// that dispatch at once each know half of what a customer got. On a simulated day with
-	// two floods by 59 boxes, 170 turns in 20 s and 0.66 of what was due earned with
-	// leastPatience alone, 2 turns and 0.83 with 200 ms (one play each); with a third of
-	// the aim 0.006 more (error 0.002, 12 pairs of days with floods and faults).
+	// latencyTargetDivisor divides the latency target of a request; its response may take at
+	// least the quotient. Under a flood of requests a dispatcher is now and then stopped for
+	// more than a tenth of a second, and leaving it costs far more than waiting: routers that
+	// switch to another box and back transfer all running requests and cached parts, and two
+	// dispatchers at once each see only half of what a customer got. In one simulated run each
+	// of a day with two floods on 59 boxes, minResponseTimeout alone led to 170 switches in 20
+	// s and earned 0.66 of what was due, a minimum of 200 ms to 2 switches and 0.83. A third of
+	// the latency target earned 0.006 more (error 0.002, 12 pairs of days with floods and
+	// faults).
 	latencyTargetDivisor = 3
-	// mostPatience still leaves time to decide alone within a request's aim. A box that
-	// has said nothing yet gets all of it: where a whole fleet turns to it at once, it
-	// has hundreds of streams to open, and turning away from it only moves them on.
+	// maxResponseTimeout leaves time to decide locally within the latency target. It applies in
+	// full to a dispatcher that has not responded yet: when a whole fleet switches to a box,
+	// that box has hundreds of streams to open, and leaving it only moves them on to the next
+	// one.
 	maxResponseTimeout = 300 * time.Millisecond
-	// patienceMeans is the patience in means.
+	// meanFactor times the mean response time is the timeout, within the bounds above.
 	meanFactor = 4
-	// wordGain is the weight of the newest word.
+	// responseGain is the weight of the newest response in the mean.
 	responseGain = 0.1
-	// mostGivenUp bounds what is remembered for words that never come.
+	// maxTimedOut bounds timedOut, as some responses never arrive.
 	maxTimedOut = 1000
 )
 
-// patience is how long to wait for the first word of a request with an aim.
-func (w *responseTimes) timeout(aim time.Duration) time.Duration {
-	return min(max(meanFactor*w.mean, aim/latencyTargetDivisor, minResponseTimeout), maxResponseTimeout)
+// timeout returns how long to wait for the first response to a request with a latency target.
+func (r *responseTimes) timeout(latencyTarget time.Duration) time.Duration {
+	return min(max(meanFactor*r.mean, latencyTarget/latencyTargetDivisor, minResponseTimeout), maxResponseTimeout)
 }
 
-// came notes the time that a word took.
-func (w *responseTimes) record(took time.Duration) {
-	w.mean += time.Duration(responseGain * float64(took-w.mean))
+// record adds the time that a response took to the mean.
+func (r *responseTimes) record(took time.Duration) {
+	r.mean += time.Duration(responseGain * float64(took-r.mean))
 }
 
-// gaveUp notes a request for which no word came in time.
-func (w *responseTimes) recordTimeout(id string, asked time.Time) {
-	if w.timedOut == nil || len(w.timedOut) >= maxTimedOut {
-		w.timedOut = map[string]time.Time{}
+// recordTimeout records a request whose response did not come in time.
+func (r *responseTimes) recordTimeout(id string, asked time.Time) {
+	if r.timedOut == nil || len(r.timedOut) >= maxTimedOut {
+		r.timedOut = map[string]time.Time{}
 	}
-	w.timedOut[id] = asked
+	r.timedOut[id] = asked
 }
 
-// late notes a word for a request that no longer waits for it.
-func (w *responseTimes) recordLate(id string, now time.Time) {
-	if asked, ok := w.timedOut[id]; ok {
-		delete(w.timedOut, id)
-		w.record(now.Sub(asked))
+// recordLate records a response to a request that no longer waits for it.
+func (r *responseTimes) recordLate(id string, now time.Time) {
+	if asked, ok := r.timedOut[id]; ok {
+		delete(r.timedOut, id)
+		r.record(now.Sub(asked))
 	}
 }
--- a/pkg/gateway/response_time_test.go
+++ b/pkg/gateway/response_time_test.go
@@ -10,44 +10,44 @@
 
 func TestWordTimes(t *testing.T) {
 	start := time.Unix(1000, 0)
-	const shortAim = 100 * time.Millisecond
-	Convey("A box that hears late waits longer, also when all words came too late", t, func() {
-		w := responseTimes{}
-		So(w.timeout(shortAim), ShouldEqual, minResponseTimeout)
+	const shortTarget = 100 * time.Millisecond
+	Convey("A box that reads responses late waits longer, even if all of them came too late", t, func() {
+		r := responseTimes{}
+		So(r.timeout(shortTarget), ShouldEqual, minResponseTimeout)
 		for i := range 50 {
 			id := fmt.Sprint(i)
-			w.recordTimeout(id, start)
-			w.recordLate(id, start.Add(60*time.Millisecond))
+			r.recordTimeout(id, start)
+			r.recordLate(id, start.Add(60*time.Millisecond))
 		}
-		So(w.timeout(shortAim), ShouldBeGreaterThan, 200*time.Millisecond)
-		So(w.timedOut, ShouldBeEmpty)
+		So(r.timeout(shortTarget), ShouldBeGreaterThan, 200*time.Millisecond)
+		So(r.timedOut, ShouldBeEmpty)
 		for range 100 {
-			w.record(2 * time.Millisecond)
+			r.record(2 * time.Millisecond)
 		}
-		So(w.timeout(shortAim), ShouldEqual, minResponseTimeout)
+		So(r.timeout(shortTarget), ShouldEqual, minResponseTimeout)
 	})
-	Convey("A box that hangs gives no late words, so patience stays short", t, func() {
-		w := responseTimes{}
+	Convey("A dispatcher that hangs sends no late responses, so the timeout stays short", t, func() {
+		r := responseTimes{}
 		for i := range 5 * maxTimedOut {
-			w.recordTimeout(fmt.Sprint(i), start)
+			r.recordTimeout(fmt.Sprint(i), start)
 		}
-		So(w.timeout(shortAim), ShouldEqual, minResponseTimeout)
-		So(len(w.timedOut), ShouldBeLessThanOrEqualTo, maxTimedOut)
+		So(r.timeout(shortTarget), ShouldEqual, minResponseTimeout)
+		So(len(r.timedOut), ShouldBeLessThanOrEqualTo, maxTimedOut)
 	})
-	Convey("Who has time waits for a box that stands still for more than a tenth of a second", t, func() {
-		w := responseTimes{}
+	Convey("A request with a long latency target waits for a dispatcher that is stopped for more than a tenth of a second", t, func() {
+		r := responseTimes{}
 		for range 100 {
-			w.record(2 * time.Millisecond)
+			r.record(2 * time.Millisecond)
 		}
-		So(w.timeout(600*time.Millisecond), ShouldEqual, 200*time.Millisecond)
-		So(w.timeout(300*time.Millisecond), ShouldEqual, 100*time.Millisecond)
-		So(w.timeout(10*time.Second), ShouldEqual, maxResponseTimeout)
+		So(r.timeout(600*time.Millisecond), ShouldEqual, 200*time.Millisecond)
+		So(r.timeout(300*time.Millisecond), ShouldEqual, 100*time.Millisecond)
+		So(r.timeout(10*time.Second), ShouldEqual, maxResponseTimeout)
 	})
-	Convey("Patience leaves time to decide alone", t, func() {
-		w := responseTimes{}
+	Convey("The timeout leaves time to decide locally", t, func() {
+		r := responseTimes{}
 		for range 100 {
-			w.record(time.Minute)
+			r.record(time.Minute)
 		}
-		So(w.timeout(shortAim), ShouldEqual, maxResponseTimeout)
+		So(r.timeout(shortTarget), ShouldEqual, maxResponseTimeout)
 	})
 }
--- a/pkg/gateway/rests.go
+++ b/pkg/gateway/rests.go
@@ -11,30 +11,32 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errAbsurdRest reports a rest that is too long to be meant.
-var errRestTooLong = errors.New("the time is longer than any that is taken for meant")
+// errRestTooLong reports a rest that is longer than lifecycle.MaxRest.
+var errRestTooLong = errors.New("the rest is longer than the maximum")
 
-// rests are until when endpoints want nothing from this box, by their own words.
+// rests are the times until which endpoints want no requests from this box, as they requested
+// in their answers (Retry-After).
 type rests struct {
 	mu        sync.Mutex
 	requested lifecycle.Rests
 }
 
+// record adds a rest. It reports whether the endpoint rests longer now.
 func (r *rests) record(rest lifecycle.Rest, now time.Time) (longer bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requested.Add(rest, now)
 }
 
-// binds tells whether an endpoint rests from this box.
+// isResting reports whether an endpoint rests from this box.
 func (r *rests) isResting(endpoint *route.Endpoint, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Before(r.requested.Until(endpoint.ID, endpoint.Born))
 }
 
-// firstOver is when the first rest of endpoints that take requests otherwise is over; zero
-// where none of them rests.
+// firstEnd returns when the first rest ends among the endpoints that otherwise take requests;
+// zero if none of them rests.
 func (r *rests) firstEnd(endpoints []route.Endpoint, now time.Time) (first time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,15 +49,15 @@
 	return first
 }
 
-// all are the rests that are not over.
+// active returns the rests that have not ended.
 func (r *rests) active(now time.Time) []lifecycle.Rest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requested.All(now)
 }
 
-// heed takes what an endpoint says of itself in the head of an answer, before anything else
-// is done with the answer: by the next request the word is in force.
+// handleSelfReport applies what an endpoint reports about itself in the head of an answer. It
+// is called before the answer is processed further, so that it applies to the next request.
 func (c *call) handleSelfReport(to destination, answered ResponseInfo) {
 	if !answered.hasSelfReport() {
 		return
@@ -66,23 +68,25 @@
 		zap.String("GrantedBy", to.granted.decidedBy)))
 }
 
-// saysOfItself tells whether an answer holds words of its endpoint about itself, as few do.
+// hasSelfReport reports whether an endpoint reports something about itself in an answer; few
+// answers do.
 func (a *ResponseInfo) hasSelfReport() bool {
 	return a.Leaving || a.Rest > 0 || a.RestProblem != nil
 }
 
-// heed is for every answer of an endpoint, whoever asked it.
+// handleSelfReport is called for every answer of an endpoint, whether to a caller's request or
+// to one of this box's own.
 func (g *Gateway) handleSelfReport(from *route.Endpoint, answered ResponseInfo, log *zap.Logger) {
 	now := time.Now()
 	if answered.Leaving {
-		// The row of one that is not listed may be back, as it was.
+		// The row of an unlisted endpoint may reappear unchanged.
 		if known, listed := g.registry.Directory().Find(from.ID); !listed || !known.Leaving {
 			g.registry.RecordDeparture(from, now)
 		}
 	}
 	length, problem := restOf(answered)
 	if problem != nil {
-		// The usual rest of one that is full stands in.
+		// The default rest of a full endpoint applies instead.
 		log.Warn("rest that an endpoint asks for not taken",
 			zap.String("Endpoint", from.ID),
 			zap.Duration("Rest", answered.Rest),
@@ -93,7 +97,7 @@
 	}
 }
 
-// restOf is the rest that an answer asks for; 0 means none.
+// restOf returns the rest that an answer requests; 0 means none.
 func restOf(answered ResponseInfo) (length time.Duration, problem error) {
 	switch {
 	case answered.RestProblem != nil:
@@ -104,7 +108,7 @@
 	return answered.Rest, nil
 }
 
-// letRest has nothing sent to an endpoint until its rest is over.
+// recordRest stops sending requests to an endpoint until its rest ends.
 func (g *Gateway) recordRest(rest lifecycle.Rest, service string, log *zap.Logger) {
 	now := time.Now()
 	if !g.rests.record(rest, now) {
--- a/pkg/gateway/rests_test.go
+++ b/pkg/gateway/rests_test.go
@@ -26,7 +26,7 @@
 		return &health{log: zap.NewNop(), rests: &rests{}, coldFraction: func(string, time.Time) float64 { return 1 }}
 	}
 	now := time.Now()
-	Convey("An endpoint that asked for rest is not chosen, not even where it is the last one", t, func() {
+	Convey("An endpoint that asked for rest is not chosen, even if it is the last one", t, func() {
 		h := newHealth()
 		h.rests.record(lifecycle.Rest{Endpoint: "a", Until: now.Add(time.Minute)}, now)
 		for range 20 {
@@ -37,7 +37,7 @@
 		_, state := h.choose(endpoints, []string{"b"}, "")
 		So(state, ShouldBeNil)
 	})
-	Convey("One that only rests after failures is, where there is no other", t, func() {
+	Convey("An endpoint that is only ejected after failures is chosen if there is no other", t, func() {
 		h := newHealth()
 		for range 5 {
 			chosen, state := h.choose(endpoints[:1], nil, "")
@@ -45,7 +45,7 @@
 			h.finish(chosen.ID, state, outcomeUnreachable, 0)
 		}
 	})
-	Convey("The first return is that of endpoints that take requests otherwise", t, func() {
+	Convey("The first end of a rest counts only endpoints that otherwise take requests", t, func() {
 		h := newHealth()
 		leaving := route.Endpoint{ID: "c", Facts: lifecycle.Facts{Leaving: true}}
 		So(h.rests.firstEnd(append(endpoints, leaving), now).IsZero(), ShouldBeTrue)
@@ -54,7 +54,7 @@
 		}
 		So(h.rests.firstEnd(append(endpoints, leaving), now), ShouldEqual, now.Add(2*time.Second))
 	})
-	Convey("Callers come back once the first one returns, and not together", t, func() {
+	Convey("Callers retry once the first rest has ended, and not all at the same time", t, func() {
 		times := map[time.Duration]bool{}
 		for range 20 {
 			after := dispatch.RetryAfterBackoff(2*time.Second, rand.Float64())
@@ -65,7 +65,7 @@
 	})
 }
 
-// takes counts the repeated sends that a budget still has.
+// countTakes takes retries until the budget is empty and returns their number.
 func countTakes(b *retryBudget) (count int) {
 	for {
 		if _, ok := b.take("api"); !ok {
@@ -76,7 +76,7 @@
 }
 
 func TestBudgetGivenBack(t *testing.T) {
-	Convey("A repeated send that is not made costs the budget nothing, however often", t, func() {
+	Convey("A retry that is not sent costs the budget nothing, however often", t, func() {
 		b := &retryBudget{settings: Settings{RetryRatio: 0.2, RetryExtra: 4, RetryWindow: time.Hour}, peers: func() int { return 0 }}
 		for range 50 {
 			taken, ok := b.take("api")
@@ -85,7 +85,7 @@
 		}
 		So(countTakes(b), ShouldEqual, 2)
 	})
-	Convey("It is given back once", t, func() {
+	Convey("A retry is returned to the budget only once", t, func() {
 		b := &retryBudget{settings: Settings{RetryRatio: 0.2, RetryExtra: 2, RetryWindow: time.Hour}, peers: func() int { return 0 }}
 		taken, _ := b.take("api")
 		c := &call{gateway: &Gateway{budget: b}, reserved: taken}
@@ -97,7 +97,7 @@
 }
 
 func TestRestOf(t *testing.T) {
-	Convey("A rest is taken up to an hour; a longer one, or one that can not be read, is none", t, func() {
+	Convey("A rest is accepted up to an hour; a longer one, or one that can not be parsed, is ignored", t, func() {
 		for _, taken := range []time.Duration{0, time.Millisecond, lifecycle.MaxRest} {
 			length, problem := restOf(ResponseInfo{Rest: taken})
 			So(problem, ShouldBeNil)
--- a/pkg/gateway/rollouts.go
+++ b/pkg/gateway/rollouts.go
@@ -21,58 +21,61 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// rollouts move services to another version of their endpoints, as the operator orders it.
-// While a version is being proved, only some boxes send to it; the first of them asks the
-// others what they saw, and decides. What it decided is told from neighbour to neighbour, and
-// the end of it stands in the store. Any box can decide: all count for themselves.
+// rollouts moves services to another version of their endpoints, as the operator orders it.
+// While a version is being proved, only some boxes, the provers, send to it. The first of them
+// collects the counts of the others and decides. Its verdict spreads from box to box through
+// the updates between peers, and the final one is written to the store. Any box can decide,
+// because all of them count their own requests.
 type rollouts struct {
 	gateway *Gateway
 	log     *zap.Logger
-	// known is the number of moves, for requests of services that do not move.
+	// activeCount is the number of orders in force. It spares requests the lock while there is
+	// none.
 	activeCount atomic.Int64
 
 	mu sync.Mutex
-	// moves are by service.
+	// active are the roll-outs by service.
 	active map[string]*activeRollout
 }
 
-// move is one order in force.
+// activeRollout is the state of one order in force.
 type activeRollout struct {
 	rollout.Judge
 	answers rollout.Answers
-	// targets and others count the endpoints of the two sides that take work.
+	// targets and others are the numbers of endpoints of the target version and of other
+	// versions that admit requests.
 	targets, others int
-	// provers are the boxes that send to the target while it is proved, the one that
-	// decides first; share is the part of this box's requests that does so.
+	// provers are the boxes that send to the target while it is proved; the first one decides.
+	// share is the fraction of this box's requests that goes to the target.
 	provers []string
 	share   float64
-	// tallies are what the provers told last, by box.
+	// tallies are the latest counts that the provers reported, by box.
 	tallies map[string]rollout.Counts
-	// status is the row in the store as it was last read or written.
+	// status is the row of the store as last read or written.
 	status     registry.RolloutStatus
 	statusRead bool
-	// checkUntil is until when the row of a move that is over is looked after: its order was
-	// written again after the store was restored, or other boxes told that it is over.
+	// checkUntil is until when the row of a finished roll-out is still checked: its order was
+	// written again after a restore of the store, or other boxes reported that it is finished.
 	checkUntil time.Time
 }
 
 const (
-	// mostProvers bounds the boxes that send to a version while it is proved, and that the
-	// deciding one asks: its work does not grow with the fleet.
+	// maxProvers bounds the boxes that send to a version while it is proved and that the
+	// deciding box asks, so that its work does not grow with the fleet.
 	maxProvers = 64
-	// rolloutLook is the time between two looks at a move, and so between two questions of
-	// the deciding box to the provers.
+	// rolloutInterval is the time between two checks of a roll-out, and so between two requests
+	// of the deciding box to the provers.
 	rolloutInterval = 250 * time.Millisecond
-	// completedFor is how long endpoints of other versions get nothing after a move is
-	// completed: they end then, and those that come later are not of this order.
+	// completedTTL is how long endpoints of other versions get nothing after a roll-out has
+	// completed. They end in that time; endpoints that appear later are not part of the order.
 	completedTTL = 10 * time.Second
-	// checkStatusFor is how long the row of a move that is over is looked after.
+	// checkStatusTimeout is how long the row of a finished roll-out is still checked.
 	checkStatusTimeout = 30 * time.Second
-	// asksAtOnce bounds the provers that are asked at once.
+	// maxParallelFetches bounds the provers that are asked at the same time.
 	maxParallelFetches = 16
 )
 
-// follow brings the moves in line with the operator's orders.
+// follow replaces the active roll-outs by those of the operator's orders.
 func (r *rollouts) follow(orders *route.Orders) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +89,8 @@
 	r.activeCount.Store(int64(len(active)))
 }
 
-// moveOf is the move of an order, with what is known where it goes on.
+// rolloutOf returns the roll-out of an order. It continues the known one if that has the same
+// order or one that the order renews.
 func rolloutOf(order rollout.Order, known *activeRollout, now time.Time) *activeRollout {
 	switch {
 	case known != nil && known.Order.Version == order.Version:
@@ -100,44 +104,44 @@
 	return &activeRollout{Judge: rollout.Judge{Order: order}, tallies: map[string]rollout.Counts{}}
 }
 
-// isOver tells whether nothing is left to decide or to have the store know.
-func (m *activeRollout) isOver(now time.Time) bool {
-	verdict, _ := m.Verdict()
-	return verdict.Final() && now.After(m.checkUntil)
+// isOver reports whether nothing is left to decide or to write to the store.
+func (a *activeRollout) isOver(now time.Time) bool {
+	verdict, _ := a.Verdict()
+	return verdict.Final() && now.After(a.checkUntil)
 }
 
-// side draws the endpoints of a service that a request goes to.
+// pickSide picks at random, by the roll-out's share, which versions a request may go to.
 func (r *rollouts) pickSide(service string) rollout.Side {
 	if r.activeCount.Load() == 0 {
 		return rollout.Side{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.active[service]
-	if m == nil {
+	a := r.active[service]
+	if a == nil {
 		return rollout.Side{}
 	}
-	return m.side(rand.Float64(), time.Now())
+	return a.side(rand.Float64(), time.Now())
 }
 
-// side is that of a number drawn from [0, 1). Where only one side has endpoints, and neither
-// is ruled out, they serve all.
-func (m *activeRollout) side(drawn float64, now time.Time) rollout.Side {
-	verdict, since := m.Verdict()
-	target := rollout.Side{Version: m.Order.Target}
-	others := rollout.Side{Version: m.Order.Target, Others: true}
-	share := m.Order.Share(verdict, since, now)
+// side returns the side for a random number from [0, 1). If only one side has endpoints and
+// neither is excluded, requests go to all.
+func (a *activeRollout) side(drawn float64, now time.Time) rollout.Side {
+	verdict, since := a.Verdict()
+	target := rollout.Side{Version: a.Order.Target}
+	others := rollout.Side{Version: a.Order.Target, Others: true}
+	share := a.Order.Share(verdict, since, now)
 	if verdict == rollout.Proving {
-		share = m.share
+		share = a.share
 	}
 	switch {
-	case verdict == rollout.Completed && (m.targets == 0 || now.Sub(since) > completedTTL):
+	case verdict == rollout.Completed && (a.targets == 0 || now.Sub(since) > completedTTL):
 		return rollout.Side{}
 	case verdict == rollout.Completed:
 		return target
-	case verdict >= rollout.Halted || m.targets == 0:
+	case verdict >= rollout.Halted || a.targets == 0:
 		return others
-	case m.others == 0:
+	case a.others == 0:
 		return rollout.Side{}
 	case drawn < share:
 		return target
@@ -145,127 +149,130 @@
 	return others
 }
 
-// forbids tells whether nothing is sent to an endpoint any more, as what was decided since it
-// was chosen rules it out.
+// forbids reports whether a verdict since the endpoint was selected excludes it, so that
+// nothing may be sent to it any more.
 func (r *rollouts) forbids(endpoint *route.Endpoint) bool {
 	if r.activeCount.Load() == 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.active[endpoint.Service]
-	if m == nil {
+	a := r.active[endpoint.Service]
+	if a == nil {
 		return false
 	}
-	verdict, _ := m.Verdict()
-	return verdict >= rollout.Halted && !m.side(0, time.Now()).Admits(endpoint.Release)
+	verdict, _ := a.Verdict()
+	return verdict >= rollout.Halted && !a.side(0, time.Now()).Admits(endpoint.Release)
 }
 
-// note counts an answer. Took is 0 where it tells nothing of the endpoint's pace.
+// recordAnswer counts an answer for the roll-out of its service. A took of 0 means that the
+// answer is no measure of the endpoint's speed.
 func (r *rollouts) recordAnswer(endpoint *route.Endpoint, routeName string, failed bool, took time.Duration) {
 	if r.activeCount.Load() == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m := r.active[endpoint.Service]; m != nil {
-		m.answers.Note(routeName, endpoint.Release == m.Order.Target, failed, took)
+	if a := r.active[endpoint.Service]; a != nil {
+		a.answers.Note(routeName, endpoint.Release == a.Order.Target, failed, took)
 	}
 }
 
-// words are what was decided, for the other boxes.
+// verdicts returns the verdicts of all roll-outs, for the other boxes.
 func (r *rollouts) verdicts() (verdicts []rollout.Word) {
 	if r.activeCount.Load() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for service, m := range r.active {
-		verdict, _ := m.Verdict()
-		verdicts = append(verdicts, rollout.Word{Service: service, Order: m.Order.Version, Verdict: verdict})
+	for service, a := range r.active {
+		verdict, _ := a.Verdict()
+		verdicts = append(verdicts, rollout.Word{Service: service, Order: a.Order.Version, Verdict: verdict})
 	}
 	slices.SortFunc(verdicts, func(a, b rollout.Word) int { return cmp.Compare(a.Service, b.Service) })
 	return verdicts
 }
 
-// hear takes what other boxes say was decided. It reports whether that is news.
-func (r *rollouts) applyVerdicts(verdicts []rollout.Word, now time.Time) (news bool) {
+// applyVerdicts applies verdicts of other boxes. It reports whether any was new.
+func (r *rollouts) applyVerdicts(verdicts []rollout.Word, now time.Time) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, received := range verdicts {
-		m := r.active[received.Service]
-		if m == nil || m.Order.Version != received.Order {
+		a := r.active[received.Service]
+		if a == nil || a.Order.Version != received.Order {
 			continue
 		}
-		if r.adopt(m, received.Verdict, now) {
-			m.checkUntil = now.Add(checkStatusTimeout)
-			news = true
+		if r.adopt(a, received.Verdict, now) {
+			a.checkUntil = now.Add(checkStatusTimeout)
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// adopt takes a verdict if it is a later one. The lock is held.
-func (r *rollouts) adopt(m *activeRollout, verdict rollout.Verdict, now time.Time) (news bool) {
-	before, _ := m.Verdict()
-	m.Adopt(verdict, now)
-	if after, _ := m.Verdict(); after == before {
+// adopt applies a verdict if it supersedes the current one, and reports whether it did. The
+// caller holds the lock.
+func (r *rollouts) adopt(a *activeRollout, verdict rollout.Verdict, now time.Time) (changed bool) {
+	before, _ := a.Verdict()
+	a.Adopt(verdict, now)
+	if after, _ := a.Verdict(); after == before {
 		return false
 	}
 	r.log.Info("roll-out",
-		zap.String("Service", m.Order.Service),
-		zap.String("Target", m.Order.Target),
-		zap.Stringer("Order", m.Order.Version),
+		zap.String("Service", a.Order.Service),
+		zap.String("Target", a.Order.Target),
+		zap.Stringer("Order", a.Order.Version),
 		zap.Stringer("Verdict", verdict),
-		zap.Duration("Passed", now.Sub(m.Order.SeenAt)))
+		zap.Duration("Passed", now.Sub(a.Order.SeenAt)))
 	return true
 }
 
-// RolloutTally tells a deciding box what this one saw.
+// RolloutTally returns this box's counts of a roll-out, for the deciding box.
 func (g *Gateway) RolloutTally(service string) *peerpb.RolloutTally {
 	g.rollouts.mu.Lock()
 	defer g.rollouts.mu.Unlock()
-	m := g.rollouts.active[service]
-	if m == nil {
+	a := g.rollouts.active[service]
+	if a == nil {
 		return nil
 	}
-	return peer.EncodeRolloutTally(m.Order.Version, m.answers.Counts(), g.attempts.countOtherReleases(service, m.Order.Target))
+	return peer.EncodeRolloutTally(a.Order.Version, a.answers.Counts(), g.attempts.countOtherReleases(service, a.Order.Target))
 }
 
-// reporters are the boxes that this one asks.
+// proversToAsk returns the boxes that this one asks for their counts.
 func (r *rollouts) proversToAsk() (boxes []string) {
 	if r.activeCount.Load() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.active {
-		if m.isDecidedBy(r.gateway.Settings.Name) && !m.isOver(time.Now()) {
-			boxes = append(boxes, m.provers[1:]...)
+	for _, a := range r.active {
+		if a.isDecidedBy(r.gateway.Settings.Name) && !a.isOver(time.Now()) {
+			boxes = append(boxes, a.provers[1:]...)
 		}
 	}
 	return boxes
 }
 
-func (m *activeRollout) isDecidedBy(box string) bool {
-	return len(m.provers) > 0 && m.provers[0] == box
+// isDecidedBy reports whether a box decides on the roll-out.
+func (a *activeRollout) isDecidedBy(box string) bool {
+	return len(a.provers) > 0 && a.provers[0] == box
 }
 
-// run looks at the moves until the context ends.
+// run checks the roll-outs until the context ends.
 func (r *rollouts) run(ctx context.Context) error {
 	interval.Every(ctx, rolloutInterval, func() {
 		if r.activeCount.Load() == 0 {
 			return
 		}
-		for _, m := range r.refresh() {
-			r.decide(ctx, m)
+		for _, a := range r.refresh() {
+			r.decide(ctx, a)
 		}
 	})
 	return nil
 }
 
-// look brings up to date who proves and what there is to prove, and returns the moves that
-// this box decides on.
+// refresh updates the provers and the numbers of endpoints, and returns the roll-outs that this
+// box decides on.
 func (r *rollouts) refresh() (own []*activeRollout) {
 	g := r.gateway
 	boxes := []string{g.Settings.Name}
@@ -273,91 +280,93 @@
 	directory := g.registry.Directory()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for service, m := range r.active {
-		m.countSides(directory.Of(service))
-		if m.isOver(time.Now()) {
+	for service, a := range r.active {
+		a.countSides(directory.Of(service))
+		if a.isOver(time.Now()) {
 			continue
 		}
-		m.provers = topRankedBoxes("roll-out of "+service, boxes, maxProvers)
-		m.share = 0
-		if slices.Contains(m.provers, g.Settings.Name) {
-			all := m.Order.Share(rollout.Proving, time.Time{}, time.Time{})
-			m.share = min(1, all*float64(len(boxes))/float64(len(m.provers)))
+		a.provers = topRankedBoxes("roll-out of "+service, boxes, maxProvers)
+		a.share = 0
+		if slices.Contains(a.provers, g.Settings.Name) {
+			all := a.Order.Share(rollout.Proving, time.Time{}, time.Time{})
+			a.share = min(1, all*float64(len(boxes))/float64(len(a.provers)))
 		}
-		if m.isDecidedBy(g.Settings.Name) && directory != nil {
-			own = append(own, m)
+		if a.isDecidedBy(g.Settings.Name) && directory != nil {
+			own = append(own, a)
 		}
 	}
 	return own
 }
 
-func (m *activeRollout) countSides(endpoints []route.Endpoint) {
-	m.targets, m.others = 0, 0
+// countSides counts the endpoints of both sides that admit requests.
+func (a *activeRollout) countSides(endpoints []route.Endpoint) {
+	a.targets, a.others = 0, 0
 	for i := range endpoints {
 		switch {
 		case !endpoints[i].Admits():
-		case endpoints[i].Release == m.Order.Target:
-			m.targets++
+		case endpoints[i].Release == a.Order.Target:
+			a.targets++
 		default:
-			m.others++
+			a.others++
 		}
 	}
 }
 
-// decide asks the provers, decides, and has the store know.
-func (r *rollouts) decide(ctx context.Context, m *activeRollout) {
-	if !m.statusRead && !r.readStatus(ctx, m) {
+// decide collects the counts of the provers, decides, and writes the status to the store.
+func (r *rollouts) decide(ctx context.Context, a *activeRollout) {
+	if !a.statusRead && !r.readStatus(ctx, a) {
 		return
 	}
 	r.mu.Lock()
-	before, _ := m.Verdict()
+	before, _ := a.Verdict()
 	r.mu.Unlock()
 	if !before.Final() {
-		r.fetchTallies(m)
+		r.fetchTallies(a)
 	}
 	r.mu.Lock()
-	before, _ = m.Verdict()
-	if !before.Final() && (m.targets > 0 || before != rollout.Proving) {
-		verdict := m.evaluate(time.Now(), r.gateway.attempts.countOtherReleases(m.Order.Service, m.Order.Target))
-		r.announce(m, before, verdict)
+	before, _ = a.Verdict()
+	if !before.Final() && (a.targets > 0 || before != rollout.Proving) {
+		verdict := a.evaluate(time.Now(), r.gateway.attempts.countOtherReleases(a.Order.Service, a.Order.Target))
+		r.announce(a, before, verdict)
 	}
-	verdict, _ := m.Verdict()
+	verdict, _ := a.Verdict()
 	r.mu.Unlock()
-	r.writeStatus(ctx, m, verdict)
+	r.writeStatus(ctx, a, verdict)
 }
 
-// announce has a new verdict told. The lock is held.
-func (r *rollouts) announce(m *activeRollout, before, verdict rollout.Verdict) {
+// announce logs a new verdict and sends it to the other boxes. The caller holds the lock.
+func (r *rollouts) announce(a *activeRollout, before, verdict rollout.Verdict) {
 	if verdict == before {
 		return
 	}
 	r.log.Info("roll-out judged",
-		zap.String("Service", m.Order.Service),
-		zap.String("Target", m.Order.Target),
-		zap.Stringer("Order", m.Order.Version),
+		zap.String("Service", a.Order.Service),
+		zap.String("Target", a.Order.Target),
+		zap.Stringer("Order", a.Order.Version),
 		zap.Stringer("Verdict", verdict),
-		zap.Duration("Passed", time.Since(m.Order.SeenAt)))
+		zap.Duration("Passed", time.Since(a.Order.SeenAt)))
 	r.gateway.exchange.SendNow()
 }
 
-// judge decides by what all provers saw.
-func (m *activeRollout) evaluate(now time.Time, running int) rollout.Verdict {
-	counts := rollout.Counts{Routes: m.answers.Counts(), OldRunning: running}
-	for _, told := range m.tallies {
-		counts.OldRunning += told.OldRunning
-		for name, tally := range told.Routes {
+// evaluate decides by the counts of all provers. Running is this box's number of requests that
+// still run at other versions.
+func (a *activeRollout) evaluate(now time.Time, running int) rollout.Verdict {
+	counts := rollout.Counts{Routes: a.answers.Counts(), OldRunning: running}
+	for _, reported := range a.tallies {
+		counts.OldRunning += reported.OldRunning
+		for name, tally := range reported.Routes {
 			sum := counts.Routes[name]
 			sum.Add(tally)
 			counts.Routes[name] = sum
 		}
 	}
-	return m.Decide(counts, now)
+	return a.Decide(counts, now)
 }
 
-// ask has the provers tell what they saw.
-func (r *rollouts) fetchTallies(m *activeRollout) {
+// fetchTallies fetches the counts of the provers.
+func (r *rollouts) fetchTallies(a *activeRollout) {
 	r.mu.Lock()
-	provers, service, order := m.provers, m.Order.Service, m.Order.Version
+	provers, service, order := a.provers, a.Order.Service, a.Order.Version
 	r.mu.Unlock()
 	group := errgroup.Group{}
 	group.SetLimit(maxParallelFetches)
@@ -374,7 +383,7 @@
 			if epoch.Version(tally.GetOrder()) == order {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				m.tallies[box] = peer.DecodeRolloutTally(tally)
+				a.tallies[box] = peer.DecodeRolloutTally(tally)
 			}
 			return nil
 		})
@@ -382,45 +391,46 @@
 	_ = group.Wait()
 }
 
-// readStatus finds what another box has had the store know of this order. It reports whether
-// that is known.
-func (r *rollouts) readStatus(ctx context.Context, m *activeRollout) (ok bool) {
-	status, err := r.gateway.Store.RolloutStatus(ctx, m.Order.Service)
+// readStatus reads what another box may have written to the store about this order. It reports
+// whether the read succeeded.
+func (r *rollouts) readStatus(ctx context.Context, a *activeRollout) (ok bool) {
+	status, err := r.gateway.Store.RolloutStatus(ctx, a.Order.Service)
 	if err != nil {
-		r.log.Warn("status of a roll-out not read", zap.String("Service", m.Order.Service), zap.Error(err))
+		r.log.Warn("status of a roll-out not read", zap.String("Service", a.Order.Service), zap.Error(err))
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m.status, m.statusRead = status, true
-	ofOrder := status.Version > m.Order.Version && status.Target == m.Order.Target
-	if ofOrder && status.Verdict.Final() && r.adopt(m, status.Verdict, time.Now()) {
+	a.status, a.statusRead = status, true
+	ofOrder := status.Version > a.Order.Version && status.Target == a.Order.Target
+	if ofOrder && status.Verdict.Final() && r.adopt(a, status.Verdict, time.Now()) {
 		r.gateway.exchange.SendNow()
 	}
 	return true
 }
 
-// store has the store know how far a move is. What is final is told to other boxes only then.
-func (r *rollouts) writeStatus(ctx context.Context, m *activeRollout, verdict rollout.Verdict) {
-	wanted := registry.RolloutStatus{Service: m.Order.Service, Target: m.Order.Target, Version: m.status.Version}
+// writeStatus writes the progress of a roll-out to the store. The verdict is sent to other
+// boxes as final only after that.
+func (r *rollouts) writeStatus(ctx context.Context, a *activeRollout, verdict rollout.Verdict) {
+	wanted := registry.RolloutStatus{Service: a.Order.Service, Target: a.Order.Target, Version: a.status.Version}
 	switch verdict {
 	case rollout.Moved, rollout.Completed:
 		wanted.Verdict = rollout.Completed
 	case rollout.Halted, rollout.RolledBack:
 		wanted.Verdict = rollout.RolledBack
 	}
-	stands := m.status.Version > m.Order.Version && m.status.Target == wanted.Target && m.status.Verdict == wanted.Verdict
-	if stands {
+	upToDate := a.status.Version > a.Order.Version && a.status.Target == wanted.Target && a.status.Verdict == wanted.Verdict
+	if upToDate {
 		return
 	}
 	written, err := r.gateway.Store.WriteRolloutStatus(ctx, wanted)
 	if err != nil {
-		// It may have been written.
-		r.log.Warn("status of a roll-out not written", zap.String("Service", m.Order.Service), zap.Error(err))
+		// The write may have succeeded all the same.
+		r.log.Warn("status of a roll-out not written", zap.String("Service", a.Order.Service), zap.Error(err))
 	}
-	// The version that it has now is to be read in any case.
-	m.statusRead = r.readStatus(ctx, m)
+	// The new version of the row is needed whether or not the write succeeded.
+	a.statusRead = r.readStatus(ctx, a)
 	if written {
-		r.log.Info("status of a roll-out written", zap.String("Service", m.Order.Service), zap.Stringer("Verdict", wanted.Verdict))
+		r.log.Info("status of a roll-out written", zap.String("Service", a.Order.Service), zap.Stringer("Verdict", wanted.Verdict))
 	}
 }
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -21,7 +21,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// catalogStore decodes one catalog of a service of engines and a plain one.
+// catalogStore decodes every catalog to one with a service of engines and a plain service.
 type catalogStore struct {
 	registry.Store
 }
@@ -35,7 +35,7 @@
 	return catalog, nil
 }
 
-// boxWith is a box without a network that was told of endpoints.
+// newTestBox returns a box without a network that was offered the given number of endpoints.
 func newTestBox(t testing.TB, endpoints int) *Gateway {
 	g := &Gateway{
 		Settings: Settings{Name: "box-0", Zone: "zone-a", Cores: 0.2},
@@ -56,7 +56,7 @@
 	return g
 }
 
-// tellEndpoints tells a box of some, as a peer does.
+// offerEndpoints offers endpoints to a box, as a peer does.
 func (g *Gateway) offerEndpoints(from, count int, version epoch.Version) {
 	entries := make([]registry.Entry, 0, count)
 	for i := range count {
@@ -73,6 +73,7 @@
 	g.registry.OfferEntries(entries, route.Knowledge{Known: last, Base: 1, Looks: uint64(last)}, "box-1")
 }
 
+// heap returns the bytes of the heap that are in use after a garbage collection.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -81,7 +82,7 @@
 	return stats.HeapAlloc
 }
 
-// allocated is what one call allocates, in bytes.
+// allocated returns how many bytes a call allocates.
 func allocated(call func()) uint64 {
 	before, after := runtime.MemStats{}, runtime.MemStats{}
 	runtime.ReadMemStats(&before)
@@ -91,18 +92,18 @@
 }
 
 const (
-	// fewEndpoints and manyEndpoints are those of 100 and of 1,000 boxes.
+	// fewEndpoints and manyEndpoints are the endpoints of fleets of 100 and of 1,000 boxes.
 	fewEndpoints, manyEndpoints = 1000, 10000
-	// heldMost bounds what a box that nobody asks for engines keeps of many of them, and
-	// heldEach what it keeps of each.
+	// maxHeldBytes bounds the memory of manyEndpoints on a box that uses none of them, and
+	// maxBytesPerEndpoint that of each.
 	maxHeldBytes        = 6 << 20
 	maxBytesPerEndpoint = 400
 )
 
-// TestBoxHoldsLittle has a box that asks nothing keep a table of the endpoints and no more. A
-// pool of engines for each group took 12.8 MB at 10,000 of them.
+// TestBoxHoldsLittle checks that a box without requests keeps a table of the endpoints and no
+// more. A pool of engines for each group took 12.8 MB with 10,000 endpoints.
 func TestBoxHoldsLittle(t *testing.T) {
-	Convey("What a box keeps of endpoints that it does not use is a small row of each", t, func() {
+	Convey("A box keeps only a small row of each endpoint that it does not use", t, func() {
 		empty := heap()
 		g := newTestBox(t, manyEndpoints)
 		held := heap() - empty
@@ -113,9 +114,10 @@
 	})
 }
 
-// TestChangeCostsAlike has a change of one endpoint cost as much with ten times as many.
+// TestChangeCostsAlike checks that a change of one endpoint costs the same with ten times as
+// many endpoints.
 func TestChangeCostsAlike(t *testing.T) {
-	Convey("A change of one endpoint allocates alike with few and with many", t, func() {
+	Convey("A change of one endpoint allocates about the same with few and with many endpoints", t, func() {
 		cost := map[int]uint64{}
 		for _, count := range []int{fewEndpoints, manyEndpoints} {
 			g := newTestBox(t, count)
@@ -135,16 +137,16 @@
 }
 
 const (
-	// retoldMost bounds what one box tells another one of all endpoints, and retakenMost what
-	// that one allocates.
+	// maxResentBytes bounds what one box sends another one of all endpoints, and
+	// maxReloadAllocation what the receiver allocates.
 	maxResentBytes      = 768 << 10
 	maxReloadAllocation = 16 << 20
 )
 
-// TestRestoreIsToldOnce has all rows be of a later epoch, as after a restore of the store that
-// changed none: they are told, and change nothing.
+// TestRestoreIsToldOnce gives all rows a later epoch, as after a restore of the store that
+// changed none of them: they are sent once and change nothing.
 func TestRestoreIsToldOnce(t *testing.T) {
-	Convey("Another box takes all rows once, in parts, and has the directory that it had", t, func() {
+	Convey("Another box receives all rows once, in parts, and its directory does not change", t, func() {
 		sender, receiver := newTestBox(t, manyEndpoints), newTestBox(t, manyEndpoints)
 		before := receiver.registry.Directory()
 		restored := epoch.Join(1, 1)
@@ -173,9 +175,10 @@
 	})
 }
 
-// TestGroupsComeAndGo has a box keep groups of engines only while its requests use them.
+// TestGroupsComeAndGo checks that a box keeps groups of engines only while its requests use
+// them.
 func TestGroupsComeAndGo(t *testing.T) {
-	Convey("A large pool has groups where prompts go, and drops those that rest", t, func() {
+	Convey("A large pool creates the groups that prompts use, and drops idle ones", t, func() {
 		g := newTestBox(t, manyEndpoints)
 		p := g.pool("llm")
 		So(p.activeGroups(), ShouldBeEmpty)
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -20,15 +20,14 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// scheduler gets this box's requests for one group of engines granted. Any box
-// can dispatch for a group: the one that ranks first among the live
-// boxes is asked, by all. Its grants are advice, and what an engine says of
-// itself is the truth, so that two boxes that dispatch at once, or none, do no
-// harm. A box that gets no word in time asks the next, or decides alone.
+// scheduler obtains grants for this box's requests to one group of engines. Any box can
+// dispatch for a group: all boxes ask the live one that ranks first, the dispatcher. Its grants
+// are advice only, and an engine's own answers take precedence, so two dispatchers at once, or
+// none, do no harm. A box that gets no response in time asks the next one, or decides locally.
 type scheduler struct {
 	gateway *Gateway
-	// service is the name of the group, with the service's; poolName is the service's alone,
-	// number the group's, and groups how many there are.
+	// groupName is the name of the group, which includes the service's; poolName is the name of
+	// the service.
 	groupName   string
 	poolName    string
 	groupNumber int
@@ -37,81 +36,84 @@
 	assignment *partition.Assignment
 	log        *zap.Logger
 
-	// cancel ends what runs for the group.
+	// cancel ends the goroutine of the group.
 	cancel context.CancelFunc
-	// usedAt is when the group was last used; the lock of its pool guards it.
+	// usedAt is when the group was last used; guarded by the lock of its pool.
 	usedAt time.Time
 
 	mu sync.Mutex
-	// standing groups have sessions to the boxes that may dispatch for them at all times.
+	// persistent groups always have sessions to the boxes that may dispatch for them.
 	persistent bool
-	// endpoints are the group's engines. The pool has them once this box decides something,
-	// and not before: most boxes of a large fleet decide nothing in most groups.
+	// endpoints are the engines of the group. They are passed to the pool only when this box
+	// begins to decide, which poolReady records: most boxes of a large fleet never decide in
+	// most groups.
 	endpoints []route.Endpoint
 	poolReady bool
 	pool      *dispatch.Pool
 	// pending are this box's requests that wait for a verdict.
 	pending map[string]*pending
-	// running are this box's granted requests, told to a box that takes over.
+	// running are the granted requests of this box; they are reported to a new dispatcher.
 	running map[string]*grantedRequest
-	// routers are those that ask this box, by number.
+	// streams are the streams of the boxes that ask this one, by number.
 	streams map[uint64]*incomingStream
-	// lastRouter is the number of the last of them; ownRouter is this box's.
+	// lastStream is the highest number given to a stream; ownStream is the number of this box.
 	lastStream uint64
-	// leftAt is when boxes last ended a stream on which they asked this one.
+	// leftAt is when each box last ended a stream on which it asked this one.
 	leftAt map[string]time.Time
-	// told is the start of a box that was told what is known here, so that a new stream to it
-	// need not tell it again.
-	syncedStart uint64
-	// asked is what this box's requests asked for, and history what they were granted;
-	// everywhere is the same over all groups of the pool.
+	// syncedIncarnation is the incarnation of the last dispatcher to which the cached parts
+	// were sent, so that a new stream to it need not send them again.
+	syncedIncarnation uint64
+	// requested and granted are the histories of this box's requests to the group;
+	// poolHistories sums them over all groups of the pool.
 	requested, granted dispatch.History
 	poolHistories      *histories
-	// boxHash is of this box's name.
+	// boxHash is the hash of this box's name.
 	boxHash uint64
-	// remote is the box that is asked; nil when it is this one, which aloneSince tells
-	// since when.
+	// remote is the stream to the dispatcher; nil if this box decides, and aloneSince is since
+	// when.
 	remote     *remote
 	aloneSince time.Time
-	// cold is this box's part of what cold engines take.
+	// cold is this box's fraction of the requests that cold engines admit.
 	cold coldFraction
 	// opening is the stream that is being opened, if any.
 	opening *opening
-	// ranking orders the boxes that may dispatch, as of some candidates.
+	// ranking orders the boxes that may dispatch; it was computed from candidates.
 	ranking    []partition.Ranked
 	candidates []membership.Candidate
-	// suspects are boxes that gave no word.
+	// suspects are the boxes that failed to respond, by name.
 	suspects map[string]suspicion
-	// floods are the customers beyond their share, with what waits here of each.
+	// floods bounds the requests that wait here of each customer beyond its share.
 	floods dispatch.BacklogLimiter
-	// turnedHere is what this box refused itself since that was last told, by customer.
+	// localRefusals is what this box refused without asking the dispatcher since the last
+	// report, by customer.
 	localRefusals map[string]*localRefusals
-	// learnt is set once the engines were asked what they keep, or a router told.
+	// cachesKnown is set once the engines or a router have reported the cached parts of
+	// prompts.
 	cachesKnown bool
-	// words are the times that first words take to come.
+	// responses are the response times of dispatchers.
 	responses responseTimes
-	// lookedAt is when the line was last looked at.
+	// decidedAt is when the pool last decided.
 	decidedAt time.Time
-	// wake tells the ticker that requests wait. Capacity 1.
+	// wake signals to runDecisions that requests wait. Capacity 1.
 	wake chan struct{}
 }
 
-// remote is the stream to the box that dispatches.
+// remote is the stream to the dispatcher.
 type remote struct {
 	box    string
 	stream *peer.DispatchStream
-	// heardAt is when it last said something, to whichever request, and decidedAt
-	// when that was a verdict.
+	// respondedAt is when the dispatcher last responded to any request, and verdictAt when it
+	// last sent a verdict.
 	respondedAt, verdictAt time.Time
 	// ended is closed with the stream.
 	ended chan struct{}
 	// usedAt is when a request was last seen to use the stream.
 	usedAt time.Time
-	// absent are the engines in a row that it granted and that are not there.
+	// absentGrants counts the grants in a row of engines that are absent.
 	absentGrants absentGrants
 }
 
-// router is a box that asks this one, on a stream.
+// incomingStream is a stream on which another box asks this one.
 type incomingStream struct {
 	box    string
 	stream *peer.DispatchStream
@@ -119,19 +121,19 @@
 }
 
 const (
-	// verdictSlack is added to the time a request may be held before the box
-	// that dispatches is taken for hanging.
+	// verdictSlack is added to the time for which a request may be queued before the dispatcher
+	// is assumed to hang.
 	verdictSlack = 100 * time.Millisecond
-	// mostSilence is the longest that a request waits for its word from a box that
-	// speaks to others: of the order of the routes' aims, after which an answer
-	// counts little.
+	// maxResponseWait bounds the wait for the response of a dispatcher that responds to other
+	// requests. It is of the order of the routes' latency targets, after which an answer is
+	// worth little.
 	maxResponseWait = time.Second
-	// tick is the time between two looks at the line, at least, and while requests
-	// wait also at most: a busy pool has thousands of events a second, and a look at
-	// a long line takes up to a millisecond where some engines have room.
+	// decisionInterval is the minimum time between two decisions, and while requests wait also
+	// the maximum: a busy pool has thousands of events a second, and deciding on a long queue
+	// takes up to a millisecond if some engines have free slots.
 	decisionInterval = 4 * time.Millisecond
-	// mostAsked bounds the boxes that are asked for one request before this box
-	// decides alone.
+	// maxDispatchersAsked bounds the boxes that are asked for one request before this box
+	// decides locally.
 	maxDispatchersAsked = 2
 )
 
@@ -173,7 +175,7 @@
 	return s
 }
 
-// configure takes what a new catalog says of the group, and how many groups there are.
+// configure applies the settings of a new catalog and the number of groups of the pool.
 func (s *scheduler) configure(service route.Service, tokensPerSecond float64, groups int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +184,7 @@
 	s.pool.Configure(service, tokensPerSecond)
 }
 
-// setEndpoints takes the group's engines.
+// setEndpoints sets the engines of the group.
 func (s *scheduler) setEndpoints(endpoints []route.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +195,8 @@
 	}
 }
 
-// engage has the pool ready to decide. The lock is held.
+// preparePool passes the engines, running requests and rests to the pool when this box begins
+// to decide. The caller holds the lock.
 func (s *scheduler) preparePool() {
 	if s.poolReady {
 		return
@@ -209,12 +212,12 @@
 	}
 }
 
-// has tells whether an engine is one of the group's. The lock is held.
+// has reports whether an engine belongs to the group. The caller holds the lock.
 func (s *scheduler) has(engine string) bool {
 	return slices.ContainsFunc(s.endpoints, func(e route.Endpoint) bool { return e.ID == engine })
 }
 
-// atRest tells whether nothing waits or runs here, and no other box asks.
+// isIdle reports whether nothing waits or runs here and no other box asks this one.
 func (s *scheduler) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,11 +225,13 @@
 		s.remote == nil && s.opening == nil && s.pool.Running() == 0 && s.pool.Waiting() == 0
 }
 
-// idleStream is how long a stream that no request uses is kept, where groups are many.
+// streamIdleTimeout is how long an unused stream is kept if the group has no persistent
+// sessions.
 const streamIdleTimeout = 250 * time.Millisecond
 
-// leaveIdle closes the stream to the box that dispatches once no request uses it, where groups
-// are many: that box would else have one of each box of the fleet.
+// closeIdleStream closes the stream to the dispatcher once no request uses it, unless the group
+// has persistent sessions: otherwise a dispatcher would have a stream of every box of the
+// fleet.
 func (s *scheduler) closeIdleStream(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +245,7 @@
 	}
 }
 
-// tick looks at the line from time to time while requests wait.
+// runDecisions decides every decisionInterval while requests wait, until the context ends.
 func (s *scheduler) runDecisions(ctx context.Context) error {
 	for {
 		select {
@@ -256,6 +261,7 @@
 	}
 }
 
+// decideOnTick decides, and reports whether requests still wait.
 func (s *scheduler) decideOnTick() (waiting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,8 +269,8 @@
 	return s.pool.Waiting() > 0
 }
 
-// decide looks at the line after an event, at once or, where it was looked at just
-// before, with the next tick. The lock is held.
+// decide decides after an event: at once or, if the last decision is less than decisionInterval
+// ago, with the next tick. The caller holds the lock.
 func (s *scheduler) decide() {
 	if s.pool.Waiting() == 0 {
 		return
@@ -280,7 +286,7 @@
 	}
 }
 
-// look delivers what the pool decides. The lock is held.
+// decideNow has the pool decide and delivers its verdicts. The caller holds the lock.
 func (s *scheduler) decideNow(now time.Time) {
 	s.decidedAt = now
 	s.pool.ColdFraction = s.coldFraction(now)
@@ -303,6 +309,8 @@
 	}
 }
 
+// deliver passes a verdict to the box that asked. A grant that can not be delivered is returned
+// to the pool. The caller holds the lock.
 func (s *scheduler) deliver(req *dispatch.Request, v verdict) {
 	v.decidedBy = s.gateway.Settings.Name
 	if req.Stream == ownStream {
@@ -323,11 +331,11 @@
 	}
 }
 
-// ownRouter stands for this box among those that ask.
+// ownStream is the stream number of this box's own requests.
 const ownStream = 0
 
-// acquire waits until a request is granted an engine or turned away, by this box where it is
-// to decide alone.
+// acquire waits until a request is granted an engine or refused. If alone is set, this box
+// decides without asking the dispatcher.
 func (s *scheduler) acquire(ctx context.Context, req *dispatch.Request, alone bool) (verdict, error) {
 	req.Stream = ownStream
 	if why := s.enterQueue(req.Customer); why != dispatch.Admitted {
@@ -336,13 +344,13 @@
 	s.mu.Lock()
 	s.recordAsk(req, time.Now())
 	s.mu.Unlock()
-	v, err := s.req(ctx, req, alone)
+	v, err := s.requestVerdict(ctx, req, alone)
 	s.leaveQueue(req.Customer, v)
 	return v, err
 }
 
-// ask has the box that dispatches decide, or this one.
-func (s *scheduler) req(ctx context.Context, req *dispatch.Request, alone bool) (verdict, error) {
+// requestVerdict obtains a verdict from the dispatcher, or else from this box's own pool.
+func (s *scheduler) requestVerdict(ctx context.Context, req *dispatch.Request, alone bool) (verdict, error) {
 	for range maxDispatchersAsked {
 		if alone {
 			break
@@ -363,8 +371,10 @@
 	return s.askLocal(ctx, req, s.gateway.fleet.CountLive()+1)
 }
 
-// askOwn has this box's own pool decide, which sees the requests of all routers
-// or, where it stands in for the box that dispatches, only its own.
+// askLocal has this box's own pool decide. Routers is the number of boxes that share the
+// engines: 1 if this box is the dispatcher, whose pool sees the requests of all routers, and
+// the size of the fleet if it stands in for the dispatcher, when its pool sees only its own
+// requests.
 func (s *scheduler) askLocal(ctx context.Context, req *dispatch.Request, routers int) (verdict, error) {
 	p := &pending{queued: make(chan struct{}, 1), decided: make(chan verdict, 1)}
 	s.mu.Lock()
@@ -390,10 +400,10 @@
 	}
 }
 
-// leaveRemote closes the stream to the box that was asked before. The lock is
-// held.
-func (s *scheduler) closeRemote(leave bool) {
-	if !leave || s.remote == nil {
+// closeRemote closes the stream to the previous dispatcher if this box has become the
+// dispatcher. The caller holds the lock.
+func (s *scheduler) closeRemote(isDispatcher bool) {
+	if !isDispatcher || s.remote == nil {
 		return
 	}
 	s.log.Info("this box dispatches now", zap.String("Service", s.groupName), zap.String("Before", s.remote.box))
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/service.go
@@ -12,25 +12,24 @@
 	"github.com/quaylead/quaylead/pkg/interval"
 )
 
-// shown bounds the customers that a box tells of in a second, for each group of
-// engines: a pool has a few large ones, and the line has to stay cheap at hundreds of
-// boxes.
+// maxReportedCustomers bounds the customers that a box logs each second for each group of
+// engines: a pool has a few large ones, and the log has to stay small with hundreds of boxes.
 const maxReportedCustomers = 6
 
-// turnedHere is what a box refused of one customer without asking, in tokens.
+// localRefusals is what a box refused of one customer without asking the dispatcher, in tokens.
 type localRefusals struct {
-	// share is what was beyond the customer's share, and busy what an overloaded box
-	// did not take.
+	// overShare was beyond the customer's share, and overloaded was refused because the box is
+	// overloaded.
 	overShare, overloaded float64
 }
 
-// customerService is what a box knows of one customer's second.
+// customerService is what a box recorded of one customer in a second.
 type customerService struct {
 	dispatch.CustomerTally
 	localRefusals
 }
 
-// noteTurnedHere books a refusal of this box's own. The lock is held.
+// recordLocalRefusal records a refusal by this box itself. The caller holds the lock.
 func (s *scheduler) recordLocalRefusal(customer string, tokens float64, why dispatch.Admission) {
 	if s.localRefusals == nil {
 		s.localRefusals = map[string]*localRefusals{}
@@ -47,9 +46,9 @@
 	}
 }
 
-// takeServices returns what this box knows since it was last called of the customers
-// that were refused something, with those that got most, so that the two can be
-// compared; none where nothing was refused.
+// takeServices returns what was recorded since the last call of the customers with the largest
+// demand, so that those that were refused something can be compared with the others. It returns
+// none if nothing was refused.
 func (s *scheduler) takeServices() []customerService {
 	s.mu.Lock()
 	tallies, here := s.pool.TakeTallies(), s.localRefusals
@@ -78,11 +77,11 @@
 	return services[:min(maxReportedCustomers, len(services))]
 }
 
-// weight ranks a customer among those of a second.
+// weight returns the demand of a customer, by which the customers are sorted.
 func (c *customerService) weight() float64 { return c.Requested + c.overShare + c.overloaded }
 
-// reportServices logs, each second in which something is refused, what the customers
-// that ask for most asked for and got.
+// reportServices logs, for each second in which something is refused, what the customers with
+// the largest demand requested and got.
 func (g *Gateway) reportServices(ctx context.Context) error {
 	interval.Every(ctx, time.Second, func() {
 		for _, s := range g.schedulers() {
--- a/pkg/gateway/service_test.go
+++ b/pkg/gateway/service_test.go
@@ -28,10 +28,10 @@
 		}
 		return s
 	}
-	Convey("A second in which nothing is refused has no line", t, func() {
+	Convey("Nothing is reported for a second in which nothing is refused", t, func() {
 		So(scheduled(3).takeServices(), ShouldBeEmpty)
 	})
-	Convey("A refusal of this box's own shows, beside what others asked for", t, func() {
+	Convey("A refusal by this box itself is reported, together with the demand of other customers", t, func() {
 		s := scheduled(1)
 		s.recordLocalRefusal("flood", 500, dispatch.RefusedOverShare)
 		s.recordLocalRefusal("flood", 30, dispatch.RefusedBusy)
@@ -42,7 +42,7 @@
 		So(services[1].Customer, ShouldEqual, "c0")
 		So(s.takeServices(), ShouldBeEmpty)
 	})
-	Convey("However many customers there are, a second has few lines, of those that ask for most", t, func() {
+	Convey("With many customers, only those with the largest demand are reported", t, func() {
 		s := scheduled(5 * maxReportedCustomers)
 		s.recordLocalRefusal("c0", 1, dispatch.RefusedOverShare)
 		services := s.takeServices()
--- a/pkg/gateway/sessions_test.go
+++ b/pkg/gateway/sessions_test.go
@@ -12,8 +12,8 @@
 	"github.com/quaylead/quaylead/pkg/partition"
 )
 
-// sessionFleet is a drawn fleet of which only the sessions between boxes that ask and boxes
-// that dispatch are played: ten engines a box, and requests by chance.
+// sessionFleet is a random fleet with ten engines a box, of which only the sessions between
+// routers and dispatchers are simulated, under random requests.
 type sessionFleet struct {
 	boxes     int
 	perSecond float64
@@ -24,12 +24,14 @@
 }
 
 // requestTakes is the mean time of a stream, and sessionStays how long a session is kept after
-// the last one: until its stream is left, found idle and no contact any more.
+// the last one: until its stream has been idle, the check has found that, and the box is no
+// contact any more.
 const (
 	requestTakes = 800 * time.Millisecond
 	sessionStays = streamIdleTimeout + idleCheckInterval + 500*time.Millisecond
 )
 
+// newSessionFleet returns a fleet whose boxes each send perSecond requests.
 func newSessionFleet(boxes int, perSecond float64, seed uint64) *sessionFleet {
 	f := &sessionFleet{boxes: boxes, perSecond: perSecond, groups: partition.Count(10 * boxes), draw: rand.New(rand.NewPCG(seed, 9))}
 	fleet := candidatesOf(boxes)
@@ -44,25 +46,26 @@
 	return f
 }
 
-// sessions are how many boxes have to other ones of each kind.
+// sessions are numbers of sessions of single boxes.
 type sessions struct {
-	// asking is the most at a box that dispatches for nothing, to boxes that it asks, and
-	// dispatching the most at one that does, from boxes that ask it.
+	// asking is the maximum at a box that does not dispatch, to the boxes that it asks;
+	// dispatching is the maximum at a dispatcher, from the boxes that ask it.
 	asking, dispatching int
 }
 
-// standing is where each box keeps a session to the first two boxes of each group.
+// standing returns the sessions if each box keeps one to the first two boxes of each group.
 func (f *sessionFleet) standing() sessions {
 	return sessions{asking: 2 * f.groups, dispatching: f.boxes - 1}
 }
 
-// onDemand is where a session is opened with a request and left after it.
+// onDemand returns the sessions if one is opened for a request and closed when idle.
 func (f *sessionFleet) onDemand() (most sessions) {
 	return f.play(func(_, group int) int { return f.dispatchers[group] })
 }
 
-// throughZone is where a box of each zone asks for the others there, one for each group, drawn
-// by hash; it has a standing session to the box that dispatches.
+// throughZone returns the sessions if, for each group, one box of each availability zone,
+// selected by hash, asks on behalf of the others; it has a persistent session to the
+// dispatcher.
 func (f *sessionFleet) throughZone() (most sessions) {
 	const zones = 5
 	asks := func(zone, group int) int {
@@ -82,7 +85,8 @@
 	return most
 }
 
-// play draws requests, each of which holds a session to the box that is asked for its group.
+// play simulates random requests, each of which holds a session to the box that is asked for
+// its group.
 func (f *sessionFleet) play(asked func(from, group int) int) (most sessions) {
 	const length, step = 20 * time.Second, 50 * time.Millisecond
 	until := map[[2]int]time.Duration{}
@@ -109,7 +113,7 @@
 	return most
 }
 
-// poisson draws how many events there are of a mean number.
+// poisson returns a random number of events with the given mean.
 func poisson(draw *rand.Rand, mean float64) (count int) {
 	for passed := draw.ExpFloat64(); passed < mean; passed += draw.ExpFloat64() {
 		count++
@@ -117,13 +121,14 @@
 	return count
 }
 
-// fleetRate is what the callers of a large fleet send to one box, in requests to engines.
+// fleetRate is the number of requests to engines that callers send to one box of a large fleet
+// in a second.
 const fleetRate = 1.4
 
-// TestSessions holds the sessions of boxes that ask and boxes that dispatch in large fleets.
+// TestSessions checks the number of sessions between routers and dispatchers in large fleets.
 func TestSessions(t *testing.T) {
 	const maxAsking, maxDispatching = 24, 128
-	Convey("Sessions go with the requests, not with the boxes or the groups", t, func() {
+	Convey("Sessions grow with the requests, not with the boxes or the groups", t, func() {
 		for _, boxes := range []int{300, 1000, 2000} {
 			f := newSessionFleet(boxes, fleetRate, uint64(boxes))
 			most := f.onDemand()
@@ -140,7 +145,7 @@
 	})
 }
 
-// candidatesOf is a fleet in which one box in twenty is large.
+// candidatesOf returns a fleet in which one box in twenty is large.
 func candidatesOf(boxes int) (found []membership.Candidate) {
 	for i := range boxes {
 		cores := 0.192
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -12,38 +12,37 @@
 	"github.com/quaylead/quaylead/pkg/request"
 )
 
-// stream is an engine's series of events on its way to the caller. Only whole
-// events are passed on. It ends in order only if the engine ended it; otherwise
-// the caller sees a cut. Its Close settles the request.
+// stream forwards the events of an engine to the caller. Only whole events are forwarded. It
+// ends normally only if the engine ended it; otherwise the connection to the caller is cut. Its
+// Close settles the request.
 type stream struct {
 	call  *call
 	to    destination
 	reply *endpoint.Reply
 
-	// buffer holds what was read: buffer[:ready] may be passed on, the rest is
-	// the beginning of an event.
+	// buffer holds what was read: buffer[:ready] can be forwarded, the rest is an incomplete
+	// event.
 	buffer []byte
 	ready  int
-	// lastEvent is the number of the last event in buffer[:ready] or before.
+	// lastEvent is the ID of the last event up to buffer[:ready].
 	lastEvent string
 	events    int
-	// sentAt is when the attempt began, firstAfter the age of the request at its
-	// first event, eventAt when the last one came, and pause the longest time
-	// between two.
+	// sentAt is when the attempt began, firstAfter the age of the request at its first event,
+	// lastEventAt when the last event arrived, and maxPause the longest time between two.
 	sentAt      time.Time
 	firstAfter  time.Duration
 	lastEventAt time.Time
 	maxPause    time.Duration
-	// granted is what was predicted.
+	// grant holds the predictions of the dispatcher.
 	grant verdict
 	whole bool
 	err   error
-	// settled is set once the current attempt was settled.
+	// settled is set once the current attempt is settled.
 	settled bool
 	closed  bool
 }
 
-// mostEventBytes bounds one event of a stream.
+// maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
 var (
@@ -51,8 +50,7 @@
 	eventIDField = []byte("id:")
 )
 
-// prime waits until there is something to pass on. An error leaves nothing
-// delivered.
+// prime waits until there is something to forward. If it fails, nothing has been delivered.
 func (s *stream) prime() error {
 	for s.ready == 0 && s.err == nil {
 		s.fill()
@@ -63,7 +61,7 @@
 	return nil
 }
 
-// Read passes on whole events as they come.
+// Read returns whole events as they arrive.
 func (s *stream) Read(p []byte) (int, error) {
 	for s.ready == 0 {
 		if s.err == nil {
@@ -90,15 +88,15 @@
 	return n, s.call.http.Conn().SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// fill reads once and looks for events that became whole.
+// fill reads once and scans for events that have become whole.
 func (s *stream) fill() {
-	const least = 2048
+	const minFree = 2048
 	if len(s.buffer) > maxEventBytes {
 		s.err = &endpoint.TooLargeError{Limit: maxEventBytes}
 		return
 	}
-	if cap(s.buffer)-len(s.buffer) < least {
-		grown := make([]byte, len(s.buffer), 2*cap(s.buffer)+least)
+	if cap(s.buffer)-len(s.buffer) < minFree {
+		grown := make([]byte, len(s.buffer), 2*cap(s.buffer)+minFree)
 		copy(grown, s.buffer)
 		s.buffer = grown
 	}
@@ -115,7 +113,7 @@
 	}
 }
 
-// time notes when an event came.
+// recordEventTime records when an event arrived.
 func (s *stream) recordEventTime(now time.Time) {
 	if s.lastEventAt.IsZero() {
 		s.firstAfter = now.Sub(s.call.arrived)
@@ -126,14 +124,13 @@
 	s.call.guard.extend(s.call.pauseStallTimeout())
 }
 
-// late tells that the stream was slower than its route aims for.
+// isLate reports whether the stream missed a latency target of its route.
 func (s *stream) isLate() bool {
 	r := s.call.route
 	return (r.Aim > 0 && s.firstAfter > r.Aim) || (r.PauseAim > 0 && s.maxPause > r.PauseAim)
 }
 
-// logSettled tells of a whole answer: of each late one, and of a sample of the
-// others.
+// logSettled logs whole answers: all late ones, and a sample of the others.
 func (s *stream) logSettled() {
 	c := s.call
 	late := s.isLate()
@@ -156,7 +153,7 @@
 		zap.Duration("Age", time.Since(c.arrived)))
 }
 
-// scan moves ready past the events that are whole.
+// scan advances ready past the whole events.
 func (s *stream) scan() {
 	for {
 		length := bytes.Index(s.buffer[s.ready:], eventEnd)
@@ -169,18 +166,19 @@
 	}
 }
 
-// note keeps an event's number.
+// recordEvent counts an event and records its ID.
 func (s *stream) recordEvent(event []byte) {
 	s.events++
 	for line := range bytes.Lines(event) {
-		if number, found := bytes.CutPrefix(line, eventIDField); found {
-			s.lastEvent = string(bytes.TrimSpace(number))
+		if id, found := bytes.CutPrefix(line, eventIDField); found {
+			s.lastEvent = string(bytes.TrimSpace(id))
 			return
 		}
 	}
 }
 
-// noteRollout counts a stream that ended: its pace is the mean time between two events.
+// recordRollout counts a stream that ended for the roll-out of its service, with the mean time
+// between two events as its speed.
 func (s *stream) recordRollout(how outcome) {
 	c := s.call
 	switch {
@@ -191,7 +189,7 @@
 	}
 }
 
-// Close settles the request, whole or cut.
+// Close settles the request, whether whole or cut.
 func (s *stream) Close() error {
 	if s.closed {
 		return nil
--- a/pkg/gateway/suspension.go
+++ b/pkg/gateway/suspension.go
@@ -13,60 +13,65 @@
 )
 
 const (
-	// suspensionLook is the time between two looks whether the machine was suspended, where
-	// nothing is sent meanwhile.
+	// suspensionCheckInterval is the time between two checks for a suspension of the machine
+	// while nothing is sent.
 	suspensionCheckInterval = 250 * time.Millisecond
-	// renewPatience is how long a box that was suspended waits for a word of the store; then
-	// it serves by what it knows, like any box in an outage. The others take it for lost for
-	// about as long.
+	// refreshTimeout bounds how long a box waits for the store after a suspension; then it
+	// serves by what it knows, as in an outage of the store. The other boxes consider it lost
+	// for about as long.
 	refreshTimeout = 3 * time.Second
-	// renewPause is the time between two tries, each of which has the time-out of a call.
+	// refreshRetryDelay is the time between two attempts, each of which has the timeout of a
+	// store call.
 	refreshRetryDelay = 100 * time.Millisecond
 )
 
-// waking notices suspensions of the machine. The steady clock does not count them, so that
-// what is seconds old looks fresh: sessions that the others have given up, grants, the
-// configuration and the endpoints, and requests whose callers have gone.
+// suspensionTracker detects suspensions of the machine. The monotonic clock does not advance
+// during one, so that outdated state looks fresh: sessions that the peers have given up,
+// grants, the configuration and the endpoints, and requests whose callers have gone.
 type suspensionTracker struct {
 	suspension.Clock
-	// renewing is set until the box has looked again.
+	// refreshing is set after a suspension until the box has refreshed its state.
 	refreshing atomic.Bool
 
 	mu    sync.Mutex
 	calls map[*call]struct{}
 }
 
-func (w *suspensionTracker) add(c *call) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.calls == nil {
-		w.calls = map[*call]struct{}{}
+// add registers a request in progress.
+func (t *suspensionTracker) add(c *call) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.calls == nil {
+		t.calls = map[*call]struct{}{}
 	}
-	w.calls[c] = struct{}{}
+	t.calls[c] = struct{}{}
 }
 
-func (w *suspensionTracker) remove(c *call) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.calls, c)
+// remove removes a request.
+func (t *suspensionTracker) remove(c *call) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.calls, c)
 }
 
-// endLate ends the requests that ran out of time meanwhile, and has the others end in time.
-func (w *suspensionTracker) endExpired() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for c := range w.calls {
+// endExpired ends the requests whose deadline passed during a suspension, and adjusts the
+// timers of the others.
+func (t *suspensionTracker) endExpired() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.calls {
 		c.endAfter(c.remaining())
 	}
 }
 
-// since tells whether what was decided when suspensions added up to a sum may be outdated: a
-// grant from before is handed back, as another request may have it now.
-func (w *suspensionTracker) isOutdated(sum time.Duration) bool {
-	return w.Noticed() != sum || w.refreshing.Load()
+// isOutdated reports whether a decision may be outdated that was made when the suspensions had
+// the given sum. A grant from before a suspension is handed back, as its engine may have been
+// granted to another request.
+func (t *suspensionTracker) isOutdated(sum time.Duration) bool {
+	return t.Noticed() != sum || t.refreshing.Load()
 }
 
-// lookForSuspension is called before anything is sent, and from time to time.
+// checkSuspension is called before anything is sent, and periodically.
 func (g *Gateway) checkSuspension() {
 	length, err := g.suspensions.Look()
 	if err != nil {
@@ -87,7 +92,8 @@
 	}
 }
 
-// renew has the box look again at what it serves by.
+// refresh reads the catalog, orders and endpoints again, until it succeeds or refreshTimeout
+// has passed.
 func (g *Gateway) refresh() {
 	defer g.suspensions.refreshing.Store(false)
 	ctx, cancel := context.WithTimeout(g.workContext, refreshTimeout)
--- a/pkg/gateway/suspicion.go
+++ b/pkg/gateway/suspicion.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// suspectFor is how long a box that gave no word is not asked; it doubles, up
-	// to suspectLongest, each time that the box fails within suspectMemory after.
+	// minSuspectTime is how long a box that failed to respond is not asked. It doubles, up to
+	// maxSuspectTime, each time that the box fails again within suspectResetDelay.
 	minSuspectTime    = 1500 * time.Millisecond
 	maxSuspectTime    = 12 * time.Second
 	suspectResetDelay = 10 * time.Second
-	// mostAbsent grants in a row of engines that are not there, over absentFor, make a box
-	// unfit to dispatch. Requests that come together meet one change of the endpoints that
-	// this box heard of first, as many as they are.
+	// minAbsentGrants grants in a row of absent engines, over at least minAbsentTime, make a
+	// box unfit to dispatch. The time is needed because any number of simultaneous requests can
+	// be affected by one change of the endpoints that this box received first.
 	minAbsentGrants = 3
 	minAbsentTime   = 500 * time.Millisecond
 )
 
-// absences are grants in a row of engines that are not there, by what this box knows.
+// absentGrants counts grants in a row of engines that are absent in this box's directory.
 type absentGrants struct {
 	count int
 	since time.Time
 }
 
-// note counts one, and tells whether the box that grants is unfit.
+// record counts one grant. It reports whether the box that granted it is unfit to dispatch.
 func (a *absentGrants) record(now time.Time) (unfit bool) {
 	if a.count == 0 {
 		a.since = now
@@ -36,17 +36,17 @@
 	return a.count >= minAbsentGrants && now.Sub(a.since) >= minAbsentTime
 }
 
-// suspicion is of a box that gave no word.
+// suspicion is held against a box that failed to respond.
 type suspicion struct {
 	// until is when it may be asked again.
 	until time.Time
-	// length is that of the time in which it is not asked.
+	// duration is how long it is not asked.
 	duration time.Duration
 }
 
-// again is the next suspicion. It is longer for a box that failed soon after the
-// last one was over: each change of the box that dispatches costs what the one
-// before knew.
+// next returns the suspicion after another failure. It is longer for a box that failed soon
+// after the last one ended, because each change of the dispatcher loses what the previous one
+// recorded.
 func (s suspicion) next(now time.Time) suspicion {
 	length := minSuspectTime
 	if s.duration > 0 && now.Sub(s.until) < suspectResetDelay {
@@ -55,6 +55,7 @@
 	return suspicion{until: now.Add(length), duration: length}
 }
 
+// suspect stops asking a box for a while and has the session to it checked.
 func (s *scheduler) suspect(box string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +75,8 @@
 		zap.Error(err))
 }
 
-// absent gives back the grant of an engine that is not there.
+// returnAbsentGrant returns the grant of an absent engine, and suspects the box that granted it
+// if that goes on.
 func (s *scheduler) returnAbsentGrant(id string, v verdict) {
 	s.end(id, dispatch.NotRun{})
 	s.mu.Lock()
--- a/pkg/gateway/suspicion_test.go
+++ b/pkg/gateway/suspicion_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSuspicion(t *testing.T) {
-	Convey("A box that fails again and again is asked less often, one that was well again is not", t, func() {
+	Convey("A box that fails repeatedly is asked less often; the time is reset after it has worked for a while", t, func() {
 		now := time.Unix(1000, 0)
 		known := suspicion{}
 		var lengths []time.Duration
@@ -24,10 +24,11 @@
 	})
 }
 
-// TestAbsences guards against boxes that part, as some requests at once meet one change of the
-// endpoints that the box that dispatches has not heard of yet.
+// TestAbsences guards against boxes that stop asking their dispatcher because many simultaneous
+// requests are affected by one change of the endpoints that the dispatcher has not received
+// yet.
 func TestAbsences(t *testing.T) {
-	Convey("Many grants of engines that are not there make a box unfit once they go on", t, func() {
+	Convey("Many grants of absent engines make a box unfit once they continue for minAbsentTime", t, func() {
 		now := time.Unix(0, 0)
 		a := absentGrants{}
 		for range 10 * minAbsentGrants {
@@ -35,7 +36,7 @@
 		}
 		So(a.record(now.Add(minAbsentTime)), ShouldBeTrue)
 	})
-	Convey("Two do not, however far apart", t, func() {
+	Convey("Two such grants do not, however far apart", t, func() {
 		now := time.Unix(0, 0)
 		a := absentGrants{}
 		So(a.record(now), ShouldBeFalse)
--- a/pkg/gateway/translator.go
+++ b/pkg/gateway/translator.go
@@ -1,6 +1,6 @@
-// Package gateway is the process that serves callers by the operator's catalog:
-// it finds the route of a request, asks for an endpoint, passes the request on
-// and the answer back.
+// Package gateway implements the router process, which serves callers by the operator's catalog:
+// it finds the route of a request, obtains an endpoint, forwards the request and returns the
+// answer.
 package gateway
 
 import (
@@ -11,64 +11,66 @@
 	"github.com/quaylead/quaylead/pkg/dispatch"
 )
 
-// Described is what the headers of a caller's request say.
+// RequestInfo is the information in the headers of a caller's request.
 type RequestInfo struct {
 	ID string
-	// Deadline is how long the caller waits; 0 means that it does not say.
+	// Timeout is how long the caller waits; 0 means that it is not specified.
 	Timeout time.Duration
-	// Key identifies the customer; empty means that there is none.
+	// Key is the API key of the customer; empty if there is none.
 	Key string
 	// Prompt is set for requests to model engines.
 	Prompt *dispatch.Prompt
-	// LastEvent is the number of the last event of a stream that the caller has;
-	// empty means none.
+	// LastEvent is the ID of the last event of a stream that the caller has received; empty
+	// means none.
 	LastEvent string
 }
 
-// Delivery is what the headers towards an endpoint have to say.
+// Delivery is the information for the headers of a request to an endpoint.
 type Delivery struct {
 	// Endpoint is the ID of the only endpoint that may run the request.
 	Endpoint string
-	// Customer is empty where none is known.
+	// Customer is empty if it is not known.
 	Customer string
-	// Remaining is the time in which the answer is of use; 0 leaves it out.
+	// Remaining is the time in which the answer is of use; 0 omits it.
 	Remaining time.Duration
-	// LastEvent continues a stream after this event; empty means from the start.
+	// LastEvent is the ID of the event after which a stream continues; empty means from the
+	// start.
 	LastEvent string
 }
 
-// Answered is what the head of an endpoint's answer says.
+// ResponseInfo is the information in the head of an endpoint's answer.
 type ResponseInfo struct {
-	// ID is the request that the answer belongs to; empty where it does not say.
+	// ID is the ID of the request that the answer belongs to; empty if it is not specified.
 	ID string
-	// NotRun answers prove that the endpoint did not run the request.
+	// NotRun is set if the answer proves that the endpoint did not run the request.
 	NotRun bool
-	// Genuine answers carry an endpoint's signature.
+	// Genuine is set if the answer carries the signature of an endpoint.
 	Genuine bool
-	// Leaving answers say that the endpoint leaves.
+	// Leaving is set if the endpoint reports that it leaves.
 	Leaving bool
-	// Rest is for how long the endpoint, as it turned the request away, wants nothing more
-	// from this box; 0 means that it does not say.
+	// Rest is for how long the endpoint, which refused the request, wants no more requests from
+	// this box; 0 means that it is not specified.
 	Rest time.Duration
-	// RestProblem is set where it says so in a form that can not be read.
+	// RestProblem is set if the rest can not be parsed.
 	RestProblem error
 }
 
-// Translator knows the names of headers and paths on the wire.
+// Translator converts between the headers and paths on the wire and the types of this package.
 type Translator interface {
-	// ReadyPath is where the balancer asks whether the box takes requests.
+	// ReadyPath returns the path on which the balancer checks whether the box takes requests.
 	ReadyPath() string
-	// Describe reads a caller's headers.
+	// ParseRequest reads the headers of a caller's request.
 	ParseRequest(header *fasthttp.RequestHeader) (RequestInfo, error)
-	// Address turns a copy of a caller's headers into those for an endpoint.
+	// PrepareRequest turns a copy of a caller's headers into the headers of a request to an
+	// endpoint.
 	PrepareRequest(header *fasthttp.RequestHeader, to Delivery)
-	// Answered reads the head of an answer.
+	// ParseResponse reads the head of an endpoint's answer.
 	ParseResponse(header *fasthttp.ResponseHeader) ResponseInfo
-	// KeptPath is where a model engine tells what its memory keeps.
+	// CachePath returns the path on which a model engine lists its prompt cache.
 	CachePath() string
-	// Kept reads that answer: the start of the engine, 0 where it does not say, and the
-	// parts.
+	// ParseCachedParts reads that list: the start time of the engine, 0 if it is not specified,
+	// and the cached parts.
 	ParseCachedParts(body []byte) (born int64, parts []dispatch.Part, err error)
-	// Strip takes what concerns one connection out of an answer's headers.
+	// StripConnectionHeaders removes the headers of an answer that concern only one connection.
 	StripConnectionHeaders(header *fasthttp.ResponseHeader)
 }
