--- a/pkg/gateway/model.go
+++ b/pkg/gateway/model.go
@@ -88,7 +88,7 @@
 	case !known || !found.Admits():
 		s.returnAbsentGrant(c.ID, v)
 	case c.gateway.rests.isResting(&found, time.Now()):
-		// The engine works; it only asked this box for rest.
+		// The engine works, but asked this box for rest.
 		s.end(c.ID, dispatch.Unused{})
 	default:
 		c.log().Debug("engine granted", zap.String("Request", c.ID), zap.String("Endpoint", found.ID), zap.String("By", v.decidedBy), zap.Duration("Wait", v.wait))
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -12,7 +12,7 @@
 	Regions map[string]string
 	// CallerAddress is the IP and port on which callers are served.
 	CallerAddress string
-	// ReadyAddress is where the balancer asks whether the box takes requests.
+	// ReadyAddress is the IP and port on which the balancer checks whether the box takes requests.
 	ReadyAddress string
 	// PeerAddress is the IP and port on which other boxes connect.
 	PeerAddress string
