--- a/pkg/dispatch/account.go
+++ b/pkg/dispatch/account.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// window sums amounts over a sliding time, in buckets.
+// window sums amounts over a sliding time window, in buckets.
 type window struct {
 	buckets [windowBuckets]float64
 	// last is the number of the newest bucket.
@@ -15,7 +15,7 @@
 	sum  float64
 }
 
-// windowBuckets divide a window; more would follow time more finely than the
+// windowBuckets is the number of buckets in a window. More would resolve time more finely than
 // requests arrive.
 const windowBuckets = 16
 
@@ -39,28 +39,28 @@
 	w.sum += amount
 }
 
-// account is what one customer asked for and got of late, and what waits.
+// account tracks what one customer recently requested and was granted, and its waiting requests.
 type account struct {
 	name string
 	usage
-	// kinds are by route.
+	// queues are by route.
 	queues map[string]*routeQueue
-	// waiting is the number of requests in the queues of all kinds.
+	// waiting is the number of requests in all queues.
 	waiting int
-	// elsewhere is what it asked for and got in other groups.
+	// otherGroups is what the customer requested and was granted in other groups of engines.
 	otherGroups otherGroupTotals
 }
 
-// kind is a customer's requests of one route.
+// routeQueue holds a customer's waiting requests for one route.
 type routeQueue struct {
 	route string
 	usage
-	// queue is in the order of arrival.
+	// queue is in order of arrival.
 	queue []*Request
 }
 
-// usage is what was asked for and got within the window, in tokens as Prompt.Cost
-// counts them.
+// usage is what was requested and granted within the window, in tokens as counted by
+// Prompt.Cost.
 type usage struct {
 	requested window
 	granted   window
@@ -71,7 +71,7 @@
 	u.granted.advance(now, length)
 }
 
-// servedPart is the part that was got of what was asked for.
+// servedFraction returns the fraction of the requested tokens that was granted.
 func (u *usage) servedFraction() float64 {
 	if u.requested.sum < 1 {
 		return 0
@@ -80,53 +80,53 @@
 }
 
 func (a *account) queue(route string) *routeQueue {
-	k := a.queues[route]
-	if k == nil {
+	q := a.queues[route]
+	if q == nil {
 		if a.queues == nil {
 			a.queues = map[string]*routeQueue{}
 		}
-		k = &routeQueue{route: route}
-		a.queues[route] = k
+		q = &routeQueue{route: route}
+		a.queues[route] = q
 	}
-	return k
+	return q
 }
 
-// noteAsked books what a request asks for.
+// addRequested records the cost of a request that arrived.
 func (a *account) addRequested(req *Request, now time.Time, length time.Duration) {
 	a.requested.add(req.cost, now, length)
 	a.queue(req.Route).requested.add(req.cost, now, length)
 }
 
-// noteGranted books a grant or, with a factor of -1, takes it back.
+// addGranted records the cost of a grant; a factor of -1 takes it back.
 func (a *account) addGranted(req *Request, factor float64, now time.Time, length time.Duration) {
 	a.granted.add(factor*req.cost, now, length)
 	a.queue(req.Route).granted.add(factor*req.cost, now, length)
 }
 
 func (a *account) enqueue(req *Request) {
-	k := a.queue(req.Route)
-	k.queue = append(k.queue, req)
+	q := a.queue(req.Route)
+	q.queue = append(q.queue, req)
 	a.waiting++
 }
 
 func (a *account) dequeue(req *Request) {
-	k := a.queue(req.Route)
-	if at := slices.Index(k.queue, req); at >= 0 {
-		k.queue = slices.Delete(k.queue, at, at+1)
+	q := a.queue(req.Route)
+	if i := slices.Index(q.queue, req); i >= 0 {
+		q.queue = slices.Delete(q.queue, i, i+1)
 		a.waiting--
 	}
 }
 
-// kindsInTurn are the kinds with waiting requests, the one first that got the
-// smallest part of what it asked for. Taken in the order of arrival, a customer far
-// beyond its share had one in five of its requests for long prompts granted and one
-// in twenty of those for short ones, as these wait a shorter time for an idle engine.
+// waitingQueues returns the queues with waiting requests, the one with the smallest served
+// fraction first. When requests were taken in order of arrival instead, a customer far over its
+// share had one in five of its requests with long prompts granted, but only one in twenty of
+// those with short prompts, as these wait a shorter time for an idle engine.
 func (a *account) waitingQueues(now time.Time, length time.Duration) []*routeQueue {
 	waiting := make([]*routeQueue, 0, len(a.queues))
-	for _, k := range a.queues {
-		if len(k.queue) > 0 {
-			k.advance(now, length)
-			waiting = append(waiting, k)
+	for _, q := range a.queues {
+		if len(q.queue) > 0 {
+			q.advance(now, length)
+			waiting = append(waiting, q)
 		}
 	}
 	slices.SortFunc(waiting, func(a, b *routeQueue) int {
@@ -135,21 +135,22 @@
 	return waiting
 }
 
-// evenShare is the largest amount for which no customer gets more than it asked
-// and the total is within capacity; a customer that asked for less leaves the
-// rest to the others. All may have what they asked when it returns the largest.
-func maxMinShare(asked []float64, capacity float64) float64 {
-	sort.Float64s(asked)
+// maxMinShare returns the largest share for which no customer gets more than it requested and
+// the total stays within capacity (max-min fairness): a customer that requested less leaves the
+// rest to the others. If capacity suffices for all requests, the result is at least the largest
+// of them.
+func maxMinShare(requested []float64, capacity float64) float64 {
+	sort.Float64s(requested)
 	left := capacity
-	for i, amount := range asked {
-		even := left / float64(len(asked)-i)
+	for i, amount := range requested {
+		even := left / float64(len(requested)-i)
 		if amount > even {
 			return even
 		}
 		left -= amount
 	}
-	if len(asked) == 0 {
+	if len(requested) == 0 {
 		return capacity
 	}
-	return asked[len(asked)-1] + left
+	return requested[len(requested)-1] + left
 }
--- a/pkg/dispatch/backlog_limiter.go
+++ b/pkg/dispatch/backlog_limiter.go
@@ -2,103 +2,104 @@
 
 import "time"
 
-// Floods bounds what waits at one router, for one pool, of customers beyond their share.
-// Of a customer that asks for many times its share, most is refused in the end: what is
-// beyond the bound is refused at once, which costs the router far less than asking, and
-// tells the caller sooner. It is not safe for concurrent use.
+// BacklogLimiter bounds how many requests of customers over their share wait at one router for
+// one pool. When a customer requests many times its share, most of its requests are refused in
+// the end. Refusing those beyond the bound at once costs the router far less than asking the
+// dispatcher, and the caller learns it sooner. It is not safe for concurrent use.
 type BacklogLimiter struct {
 	customers map[string]*customerBacklog
 }
 
-// flood is one customer's.
+// customerBacklog is the state of one customer.
 type customerBacklog struct {
 	waiting int
-	// overUntil is how long the customer is taken for beyond its share.
+	// overShareUntil is the time until which the customer is assumed to be over its share.
 	overShareUntil time.Time
 }
 
 const (
-	// FloodMost is the number of a customer's requests that wait at one router for
-	// one pool, once it is beyond its share: about what the pool grants to all
-	// customers in the time that a request may wait.
+	// MaxWaitingOverShare bounds the requests of a customer over its share that wait at one
+	// router for one pool. It is about what the pool grants to all customers in the time for
+	// which a request may wait.
 	MaxWaitingOverShare = 32
-	// busyMost is the same at an overloaded router, for any customer: less waits
-	// there, and what is refused can come back to another one within its aim.
+	// maxWaitingBusy is the bound at an overloaded router, for any customer. Fewer wait there,
+	// and a refused request can be retried at another router within its latency target.
 	maxWaitingBusy = 8
-	// overMemory is how long a refusal that says so is believed: shares are
-	// counted over seconds.
+	// overShareTTL is how long a customer is assumed to be over its share after a refusal that
+	// said so. Shares are counted over seconds.
 	overShareTTL = 500 * time.Millisecond
-	// mostFloods bounds the customers that are remembered without a request.
+	// maxTrackedCustomers is the number of customers from which on those without waiting
+	// requests are evicted.
 	maxTrackedCustomers = 1000
 )
 
-// Admission is what floods say to a new request.
+// Admission is the result of BacklogLimiter.Enter.
 type Admission int
 
 const (
-	// Admitted requests may wait.
+	// Admitted means that the request may wait.
 	Admitted Admission = iota
-	// BeyondShare requests are refused: enough of their customer's wait already.
+	// RefusedOverShare means that enough requests of the customer, which is over its share, wait
+	// already.
 	RefusedOverShare
-	// RouterBusy requests are refused: this router is overloaded, and others are
-	// likely not to be.
+	// RefusedBusy means that this router is overloaded; other routers are likely not to be.
 	RefusedBusy
 )
 
-// Enter notes that a request waits, unless it is to be refused. Busy tells that this
-// router is overloaded.
-func (f *BacklogLimiter) Enter(customer string, busy bool, now time.Time) Admission {
-	why := f.Check(customer, busy, now)
-	if why != Admitted {
-		return why
+// Enter records a waiting request, unless it has to be refused. busy reports whether this router
+// is overloaded.
+func (l *BacklogLimiter) Enter(customer string, busy bool, now time.Time) Admission {
+	admission := l.Check(customer, busy, now)
+	if admission != Admitted {
+		return admission
 	}
-	one := f.customers[customer]
-	if one == nil {
-		f.evictIdle(now)
-		one = &customerBacklog{}
-		f.customers[customer] = one
+	backlog := l.customers[customer]
+	if backlog == nil {
+		l.evictIdle(now)
+		backlog = &customerBacklog{}
+		l.customers[customer] = backlog
 	}
-	one.waiting++
+	backlog.waiting++
 	return Admitted
 }
 
-// Judge tells what Enter would, and notes nothing.
-func (f *BacklogLimiter) Check(customer string, busy bool, now time.Time) Admission {
-	one := f.customers[customer]
-	if one == nil {
+// Check returns what Enter would return, and records nothing.
+func (l *BacklogLimiter) Check(customer string, busy bool, now time.Time) Admission {
+	backlog := l.customers[customer]
+	if backlog == nil {
 		return Admitted
 	}
-	switch over := now.Before(one.overShareUntil); {
-	case over && one.waiting >= MaxWaitingOverShare:
+	switch over := now.Before(backlog.overShareUntil); {
+	case over && backlog.waiting >= MaxWaitingOverShare:
 		return RefusedOverShare
-	case busy && over && one.waiting >= maxWaitingBusy:
+	case busy && over && backlog.waiting >= maxWaitingBusy:
 		return RefusedOverShare
-	case busy && one.waiting >= maxWaitingBusy:
+	case busy && backlog.waiting >= maxWaitingBusy:
 		return RefusedBusy
 	}
 	return Admitted
 }
 
-// Leave notes that a request waits no more, and whether its customer was found beyond
+// Leave records that a request no longer waits, and whether its customer was found to be over
 // its share.
-func (f *BacklogLimiter) Leave(customer string, over bool, now time.Time) {
-	one := f.customers[customer]
-	one.waiting--
+func (l *BacklogLimiter) Leave(customer string, over bool, now time.Time) {
+	backlog := l.customers[customer]
+	backlog.waiting--
 	if over {
-		one.overShareUntil = now.Add(overShareTTL)
+		backlog.overShareUntil = now.Add(overShareTTL)
 	}
 }
 
-func (f *BacklogLimiter) evictIdle(now time.Time) {
-	if f.customers == nil {
-		f.customers = map[string]*customerBacklog{}
+func (l *BacklogLimiter) evictIdle(now time.Time) {
+	if l.customers == nil {
+		l.customers = map[string]*customerBacklog{}
 	}
-	if len(f.customers) < maxTrackedCustomers {
+	if len(l.customers) < maxTrackedCustomers {
 		return
 	}
-	for name, one := range f.customers {
-		if one.waiting == 0 && now.After(one.overShareUntil) {
-			delete(f.customers, name)
+	for name, backlog := range l.customers {
+		if backlog.waiting == 0 && now.After(backlog.overShareUntil) {
+			delete(l.customers, name)
 		}
 	}
 }
--- a/pkg/dispatch/cache.go
+++ b/pkg/dispatch/cache.go
@@ -2,74 +2,76 @@
 
 import "time"
 
-// warmFor is how long Warm holds: parts unused for longer have given way.
+// warmPeriod is how long Pool.Warm has effect: parts unused for longer have been evicted.
 const warmPeriod = 30 * time.Second
 
-// believe notes parts of a prompt at its first home, if that is likely.
-func (p *Pool) assumeCached(part *partStats, prompt *Prompt, now time.Time) {
+// assumeCached adds the shared parts of a prompt to the prefix cache of its first home, if the
+// pool is warm and the engine has not reported its cache.
+func (p *Pool) assumeCached(stats *partStats, prompt *Prompt, now time.Time) {
 	if p.warmUntil.IsZero() {
 		p.warmUntil = now.Add(warmPeriod)
 	}
-	if !p.Warm || now.After(p.warmUntil) || len(part.ranked) == 0 {
+	if !p.Warm || now.After(p.warmUntil) || len(stats.ranked) == 0 {
 		return
 	}
-	if part.ranked[0].hasCacheReport {
+	if stats.ranked[0].hasCacheReport {
 		return
 	}
 	for _, shared := range prompt.Shared() {
-		part.ranked[0].addCachedOldest(shared, true)
+		stats.ranked[0].addCachedOldest(shared, true)
 	}
 }
 
-// Kept are parts in an engine's memory, the latest used first.
+// CachedParts are parts in an engine's prefix cache, the most recently used first.
 type CachedParts struct {
 	Endpoint string
-	// Born is the start of the engine that keeps them; 0 means unknown.
+	// Born identifies the instance of the engine; 0 means unknown.
 	Born  int64
 	Parts []Part
 }
 
-// mostKept bounds the parts told of one engine: more than its memory holds of
-// long ones.
+// maxCachedParts bounds the parts reported for one engine. An engine's cache holds fewer long
+// parts than that.
 const maxCachedParts = 128
 
-// Kept is what this pool believes of the engines' memories, for a box that takes
+// CachedParts returns the estimated contents of the engines' prefix caches, for a box that takes
 // over. Short parts are left out.
 func (p *Pool) CachedParts() (all []CachedParts) {
 	for _, e := range p.sorted {
-		kept := CachedParts{Endpoint: e.ID, Born: e.Born}
-		for at := e.cache.Front(); at != nil && len(kept.Parts) < maxCachedParts; at = at.Next() {
-			if part := at.Value.(cachedPart).Part; part.Tokens >= maxShortShared {
-				kept.Parts = append(kept.Parts, part)
+		cached := CachedParts{Endpoint: e.ID, Born: e.Born}
+		for elem := e.cache.Front(); elem != nil && len(cached.Parts) < maxCachedParts; elem = elem.Next() {
+			if part := elem.Value.(cachedPart).Part; part.Tokens >= maxShortShared {
+				cached.Parts = append(cached.Parts, part)
 			}
 		}
-		if len(kept.Parts) > 0 {
-			all = append(all, kept)
+		if len(cached.Parts) > 0 {
+			all = append(all, cached)
 		}
 	}
 	return all
 }
 
-// Learn takes over what another router believes of an engine's memory.
-func (p *Pool) AddCachedParts(kept CachedParts, now time.Time) {
-	e := p.engineAtStart(kept.Endpoint, kept.Born, now)
+// AddCachedParts adds another router's estimate of an engine's prefix cache.
+func (p *Pool) AddCachedParts(cached CachedParts, now time.Time) {
+	e := p.engineAtStart(cached.Endpoint, cached.Born, now)
 	if e == nil {
 		return
 	}
-	for _, part := range kept.Parts {
+	for _, part := range cached.Parts {
 		e.addCachedOldest(part, false)
 		p.recordCachedPart(part, e, now)
 	}
 }
 
-// List takes an engine's own account of its memory.
-func (p *Pool) ApplyCacheReport(kept CachedParts, now time.Time) {
-	e := p.engineAtStart(kept.Endpoint, kept.Born, now)
+// ApplyCacheReport replaces assumed cache contents of an engine by those that the engine itself
+// reported.
+func (p *Pool) ApplyCacheReport(report CachedParts, now time.Time) {
+	e := p.engineAtStart(report.Endpoint, report.Born, now)
 	if e == nil {
 		return
 	}
-	e.applyCacheReport(kept.Parts)
-	for _, part := range kept.Parts {
+	e.applyCacheReport(report.Parts)
+	for _, part := range report.Parts {
 		p.recordCachedPart(part, e, now)
 	}
 }
--- a/pkg/dispatch/decide.go
+++ b/pkg/dispatch/decide.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Decide grants what can go now and turns away what can no longer wait. It is
-// called after each event, and from time to time while requests wait.
+// Decide grants the requests that can go now and refuses those that can no longer wait. It is
+// called after each event, and periodically while requests wait.
 func (p *Pool) Decide(now time.Time) (decisions []Decision) {
 	if p.queued == 0 {
 		return nil
@@ -29,7 +29,8 @@
 	return p.refuseOverdue(decisions, now)
 }
 
-// inTurn are the customers with waiting requests, the one served least first.
+// waitingAccounts returns the customers with waiting requests, the one that was granted least
+// first.
 func (p *Pool) waitingAccounts(now time.Time) []*account {
 	var waiting []*account
 	for _, a := range p.accounts {
@@ -44,30 +45,30 @@
 	return waiting
 }
 
-// grantOne grants the first of a customer's requests for which there is room.
+// grantNext grants the first of a customer's requests for which there is room.
 func (p *Pool) grantNext(a *account, now time.Time) *Grant {
-	for _, k := range a.waitingQueues(now, p.Rules.Window) {
-		for _, req := range k.queue {
+	for _, q := range a.waitingQueues(now, p.Rules.Window) {
+		for _, req := range q.queue {
 			if req.triedRound == p.round {
 				continue
 			}
 			req.triedRound = p.round
-			if at := p.place(req, p.shareLevel(a, req), now); at != nil {
-				return p.grant(a, req, at, now)
+			if e := p.place(req, p.shareLevel(a, req), now); e != nil {
+				return p.grant(a, req, e, now)
 			}
 		}
 	}
 	return nil
 }
 
-// grant takes a request out of line and books it at an engine.
-func (p *Pool) grant(a *account, req *Request, at *engine, now time.Time) *Grant {
+// grant removes a request from its queue and assigns it to an engine.
+func (p *Pool) grant(a *account, req *Request, e *engine, now time.Time) *Grant {
 	p.dequeue(a, req)
 	p.tallyFor(a.name).Granted += req.cost
-	wait := p.predictedWait(at, now)
-	tokens, shared := at.missingTokens(&req.Prompt)
-	p.book(req, at, now)
-	return &Grant{Request: req, Endpoint: at.ID, Wait: wait, ReadTime: at.readTime(tokens), MissingTokens: shared}
+	wait := p.predictedWait(e, now)
+	tokens, shared := e.missingTokens(&req.Prompt)
+	p.book(req, e, now)
+	return &Grant{Request: req, Endpoint: e.ID, Wait: wait, ReadTime: e.readTime(tokens), MissingTokens: shared}
 }
 
 func (p *Pool) book(req *Request, e *engine, now time.Time) *grant {
@@ -83,13 +84,14 @@
 	return g
 }
 
-// turnAway gives up what waited for its part of the aim. The times to come back are
-// drawn in a fixed order, so that decisions do not depend on that of a map.
+// refuseOverdue refuses the requests that waited for their maximum time or can no longer be
+// served. Retry times are drawn in a fixed order, so that decisions do not depend on the order
+// of a map.
 func (p *Pool) refuseOverdue(decisions []Decision, now time.Time) []Decision {
 	for _, a := range p.waitingAccounts(now) {
-		for _, k := range a.waitingQueues(now, p.Rules.Window) {
-			for i := 0; i < len(k.queue); {
-				req := k.queue[i]
+		for _, q := range a.waitingQueues(now, p.Rules.Window) {
+			for i := 0; i < len(q.queue); {
+				req := q.queue[i]
 				if !req.refuseNow && p.hasEligibleEngine(req, now) && !p.isQuarantined(req, now) && now.Before(req.Arrived.Add(time.Duration(p.maxWait(req)))) && now.Before(req.Deadline) {
 					i++
 					continue
@@ -101,7 +103,7 @@
 	return decisions
 }
 
-// turn takes a request out of line and tells it to come back.
+// refuse removes a request from its queue and says when to retry.
 func (p *Pool) refuse(a *account, req *Request, now time.Time) Refusal {
 	over := p.isOverShare(a, req)
 	queued := p.queued
@@ -114,7 +116,7 @@
 	return Refusal{Request: req, RetryAfter: p.retryAfter(a, req, over, now), OverShare: over, NoEligibleEngine: !p.hasEligibleEngine(req, now), Queued: queued}
 }
 
-// hold is how long a request may wait here.
+// maxWait returns how long a request may wait here, in nanoseconds.
 func (p *Pool) maxWait(req *Request) float64 {
 	return p.Rules.MaxWaitFraction * float64(req.LatencyTarget)
 }
--- a/pkg/dispatch/eligible.go
+++ b/pkg/dispatch/eligible.go
@@ -7,73 +7,75 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// Rest notes that an engine wants nothing from a router for a while. It is no verdict on the
-// engine: others may go there. It reports whether that is news.
-func (p *Pool) SetBackoff(router uint64, rest lifecycle.Rest, now time.Time) bool {
+// SetBackoff records that an engine asked a router to send it nothing for a while. This says
+// nothing about the engine's health: other routers may send to it. It reports whether that is a
+// change.
+func (p *Pool) SetBackoff(stream uint64, rest lifecycle.Rest, now time.Time) bool {
 	if p.engines[rest.Endpoint] == nil {
 		return false
 	}
-	if p.backoffs[router] == nil {
-		p.backoffs[router] = &lifecycle.Rests{}
+	if p.rests[stream] == nil {
+		p.rests[stream] = &lifecycle.Rests{}
 	}
-	return p.backoffs[router].Add(rest, now)
+	return p.rests[stream].Add(rest, now)
 }
 
-// Knows tells whether an engine is one of the pool's.
+// HasEngine reports whether the pool has an engine.
 func (p *Pool) HasEngine(engine string) bool { return p.engines[engine] != nil }
 
-// restsUntil is when an engine's rest from the router of a request is over; zero or past
-// where there is none.
-func (p *Pool) backoffUntil(e *engine, req *Request) time.Time {
-	rests := p.backoffs[req.Stream]
+// restUntil returns when the rest that an engine asked of a request's router ends; zero or past
+// if there is none.
+func (p *Pool) restUntil(e *engine, req *Request) time.Time {
+	rests := p.rests[req.Stream]
 	if rests == nil {
 		return time.Time{}
 	}
 	return rests.Until(e.ID, e.Born)
 }
 
-// allows tells whether a request may go to an engine now, however well that is.
+// allows reports whether a request may go to an engine now, regardless of the engine's load and
+// health.
 func (p *Pool) allows(e *engine, req *Request, now time.Time) bool {
-	return req.canUse(e) && !now.Before(p.backoffUntil(e, req))
+	return req.canUse(e) && !now.Before(p.restUntil(e, req))
 }
 
-// mayUse tells whether a request may go to an engine at all: its availability zone and its
-// version are among the request's, and the engine has not failed it before.
-func (a *Request) canUse(e *engine) bool {
-	return a.Releases.Admits(e.Release) && (len(a.Zones) == 0 || slices.Contains(a.Zones, e.Zone)) && !slices.Contains(a.Excluded, e.ID)
+// canUse reports whether a request may go to an engine at all: the engine's availability zone
+// and version are among those of the request, and the engine did not fail it before.
+func (r *Request) canUse(e *engine) bool {
+	return r.Releases.Admits(e.Release) && (len(r.Zones) == 0 || slices.Contains(r.Zones, e.Zone)) && !slices.Contains(r.Excluded, e.ID)
 }
 
-// admits tells whether any engine takes a request while it may wait: not where all zones that
-// it may go to are evacuated, or all engines leave, or rest for longer. What no engine takes
-// is refused at once. It is asked of each request in line at each look: 46 microseconds for
-// 400 of them in place of 43 (BenchmarkDecide).
+// hasEligibleEngine reports whether any engine can take a request within the time for which it
+// may wait. None can if all its availability zones are evacuated, or all engines are leaving or
+// rest for longer; such a request is refused at once. Decide checks it for each waiting request,
+// which takes 46 instead of 43 microseconds for 400 of them (BenchmarkDecide).
 func (p *Pool) hasEligibleEngine(req *Request, now time.Time) bool {
 	return slices.ContainsFunc(p.sorted, func(e *engine) bool {
-		return e.life.Admits() && req.canUse(e) && p.backoffEndsInTime(e, req, now)
+		return e.life.Admits() && req.canUse(e) && p.restEndsInTime(e, req, now)
 	})
 }
 
-// returnsInTime tells whether an engine's rest from the router of a request, if any, is over
-// while the request may wait.
-func (p *Pool) backoffEndsInTime(e *engine, req *Request, now time.Time) bool {
-	until := p.backoffUntil(e, req)
+// restEndsInTime reports whether the rest that an engine asked of a request's router, if any,
+// ends while the request may wait.
+func (p *Pool) restEndsInTime(e *engine, req *Request, now time.Time) bool {
+	until := p.restUntil(e, req)
 	return until.IsZero() || !until.After(later(now, req.Arrived.Add(time.Duration(p.maxWait(req)))))
 }
 
-// firstReturn is when the first engine that takes a request after its rest returns; zero
-// where one takes it now, or none does.
-func (p *Pool) earliestBackoffEnd(req *Request, now time.Time) (first time.Time) {
+// earliestRestEnd returns when the first engine that can take a request ends its rest; zero if
+// an engine can take it now, or none can.
+func (p *Pool) earliestRestEnd(req *Request, now time.Time) (earliest time.Time) {
 	for _, e := range p.sorted {
 		if !e.life.Admits() || !req.canUse(e) {
 			continue
 		}
-		until := p.backoffUntil(e, req)
+		until := p.restUntil(e, req)
 		if !now.Before(until) {
 			return time.Time{}
 		}
-		if first.IsZero() || until.Before(first) {
-			first = until
+		if earliest.IsZero() || until.Before(earliest) {
+			earliest = until
 		}
 	}
-	return first
+	return earliest
 }
--- a/pkg/dispatch/endpoints.go
+++ b/pkg/dispatch/endpoints.go
@@ -9,11 +9,11 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// SetEndpoints says which engines there are. Those that are gone get nothing
-// new; what runs there ends as its router says. One of a later start is another engine:
-// all that was known of the one before ends with it.
+// SetEndpoints replaces the set of engines. Removed engines get no new requests; those that run
+// there end as their router reports. An endpoint with a later start is another engine, and the
+// state of the previous one is dropped.
 func (p *Pool) SetEndpoints(endpoints []route.Endpoint, now time.Time) {
-	first := len(p.engines) == 0
+	initial := len(p.engines) == 0
 	engines := make(map[string]*engine, len(endpoints))
 	changed := len(endpoints) != len(p.engines)
 	for _, endpoint := range endpoints {
@@ -22,7 +22,7 @@
 		case e == nil || endpoint.Renews(&e.Endpoint):
 			e = newEngine(endpoint, p.service.Engine.CacheTokens)
 			changed = true
-			if !first {
+			if !initial {
 				e.life.AssumeCold(lifecycle.Started, now.Add(p.coldBound.Duration))
 			}
 		case endpoint.Outdated(&e.Facts):
@@ -39,7 +39,7 @@
 	p.sortEngines()
 }
 
-// teach has an engine take a newer account of it.
+// updateEngine applies a newer entry of an endpoint to its engine.
 func (p *Pool) updateEngine(e *engine, endpoint route.Endpoint, now time.Time) {
 	e.Endpoint = endpoint
 	e.coldBound = p.coldBound
@@ -49,7 +49,7 @@
 	}
 }
 
-// order brings what depends on the set of engines up to date.
+// sortEngines updates what depends on the set of engines.
 func (p *Pool) sortEngines() {
 	p.sorted = p.sorted[:0]
 	for _, e := range p.engines {
@@ -61,19 +61,19 @@
 	}
 }
 
-// engineOf is the engine that a word about one of its starts is about; nil where there is
-// none, or where that start is over. A later start than the known one begins here. Born is
-// 0 where the word does not say.
+// engineAtStart returns the engine that a report about one instance of an endpoint concerns; nil
+// if there is none, or if that instance is over. A later instance than the known one replaces it
+// here. born is 0 if the report does not name the instance.
 func (p *Pool) engineAtStart(id string, born int64, now time.Time) *engine {
 	e := p.engines[id]
 	if e == nil {
 		return nil
 	}
-	told := lifecycle.Facts{Born: born}
+	reported := lifecycle.Facts{Born: born}
 	switch {
-	case told.Outdated(&e.Facts):
+	case reported.Outdated(&e.Facts):
 		return nil
-	case told.Supersedes(&e.Facts):
+	case reported.Supersedes(&e.Facts):
 		endpoint := e.Endpoint
 		endpoint.Born = born
 		e = newEngine(endpoint, p.service.Engine.CacheTokens)
--- a/pkg/dispatch/engine.go
+++ b/pkg/dispatch/engine.go
@@ -11,97 +11,99 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// engine is what the pool believes of one engine, from what it granted and what
-// routers told of it.
+// engine is the estimated state of one engine, from the pool's grants and the routers' reports.
 type engine struct {
 	route.Endpoint
-	// hash is of its ID.
+	// hash is the hash of its ID.
 	hash uint64
-	// life says whether and how much may be sent; bound is what it takes while cold.
+	// life decides whether and how much may be sent; coldBound limits this while the engine is
+	// cold.
 	life          lifecycle.State
 	coldBound     lifecycle.Bound
 	cacheCapacity int
 
-	// unread are the granted requests whose first token has not come, in the
-	// order in which the engine takes them.
+	// pending are the granted requests whose first token has not come, in the order in which the
+	// engine reads them.
 	pending []*grant
-	// running counts the requests that are granted and not ended.
+	// running counts the requests that were granted and have not ended.
 	running int
-	// own are the tokens of running requests that can not be shared.
+	// privateTokens are the tokens of running requests that cannot be shared.
 	privateTokens int
-	// progressAt is when the engine last began a request, or when its first
-	// unread one was granted; readFrom is since when it can read that one. A request
-	// that begins was read a lag before.
+	// progressAt is when a request last began at the engine, or when its first pending request
+	// was granted. readingSince is the earliest time at which the engine can have started to
+	// read that request: a prompt is read completely one lag before its first token comes.
 	progressAt, readingSince time.Time
 	prefillEstimate
 
-	// kept are the parts believed in the engine's memory, the latest used first.
+	// cache are the parts estimated to be in the engine's prefix cache, the most recently used
+	// first; cacheIndex finds them by part ID.
 	cache      *list.List
 	cacheIndex map[uint64]*list.Element
-	// keptTokens is their sum.
+	// cachedTokens is the sum of their tokens.
 	cachedTokens int
-	// seen is what the pool found in its current round.
+	// snapshot is the result of Pool.snapshot in the current round.
 	snapshot engineSnapshot
 
-	// listed is set once the engine itself has told what it keeps.
+	// hasCacheReport is set once the engine itself has reported its cache.
 	hasCacheReport bool
 
-	// suspectUntil is the end of a time without new work, after failures, as the pool
-	// supposes. What the engine asked for itself is in Pool.rests.
+	// ejectedUntil is the time until which the engine gets no new work after failures. What the
+	// engine itself asked for is in Pool.rests.
 	ejectedUntil time.Time
-	// failedAt is when the last of these failures came.
+	// failedAt is when the last of these failures occurred.
 	failedAt time.Time
-	// failures in a row lengthen that time.
+	// consecutiveFailures lengthen the ejection.
 	consecutiveFailures int
-	// broken answers in a row, without a first token between them.
+	// consecutiveBroken counts broken answers without a first token between them.
 	consecutiveBroken int
-	// suspects are the fingerprints under which engines had ended that run here, with how
-	// many.
+	// suspects are the fingerprints of requests running here under which engines ended, with the
+	// number of these engines.
 	suspects map[quarantine.Fingerprint]int
 }
 
-// view is what placing a request needs of an engine, and does not depend on the
+// engineSnapshot is the state of an engine that placement needs and that does not depend on the
 // request.
 type engineSnapshot struct {
-	// round is the pool's when it was found; another one makes it void.
+	// round is the pool's round in which it was taken; in another round it is invalid.
 	round  uint64
 	usable bool
-	// idle engines have begun all that they were granted.
+	// idle engines have no pending requests.
 	idle bool
 	wait time.Duration
 }
 
 type cachedPart struct {
 	Part
-	// believed parts were neither read nor told; they are likely.
+	// assumed parts were neither read here nor reported by the engine; they are only likely to
+	// be cached.
 	assumed bool
 }
 
-// grant is a request at an engine.
+// grant is a request assigned to an engine.
 type grant struct {
 	req    *Request
 	engine *engine
-	// tokens have to be read there.
+	// tokens is the number of tokens that the engine has to read.
 	tokens int
 	at     time.Time
 	begun  bool
-	// adopted grants were another box's: what came between them is not known, so
-	// they tell nothing of the engine's pace.
+	// adopted grants were made by another box. What the engine read in between is not known, so
+	// they are no samples for its prefillEstimate.
 	adopted bool
 }
 
 const (
-	// keptReserve is the part of an engine's memory that running requests may
-	// take for themselves.
+	// maxPrivateFraction is the fraction of an engine's cache that the private tokens of running
+	// requests may take.
 	maxPrivateFraction = 0.7
-	// suspectFor is the time without new work after a failure; it doubles with
-	// each failure in a row, up to suspectLongest.
+	// minEjection is the time without new work after a failure. It doubles with each consecutive
+	// failure, up to maxEjection.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 4 * time.Second
-	// brokenMost is the number of broken answers in a row that stand for a crash.
+	// maxConsecutiveBroken is the number of consecutive broken answers that counts as a crash.
 	maxConsecutiveBroken = 3
-	// stallAfter is the time beyond the predicted first token after which an
-	// engine that began nothing since is taken for hanging.
+	// stallTimeout is the time beyond the predicted first token after which an engine that began
+	// nothing since is considered stalled.
 	stallTimeout = 800 * time.Millisecond
 )
 
@@ -117,8 +119,8 @@
 	}
 }
 
-// missing is the number of tokens of a prompt that the engine has to read, and
-// how many of them are of shared parts.
+// missingTokens returns the number of tokens of a prompt that the engine has to read, and how
+// many of them belong to shared parts.
 func (e *engine) missingTokens(p *Prompt) (tokens, shared int) {
 	whole := true
 	for i, part := range p.Parts {
@@ -134,7 +136,7 @@
 	return tokens, shared
 }
 
-// wait is the predicted time until the engine begins to read a new prompt.
+// predictedWait returns the predicted time until the engine starts to read a new prompt.
 func (e *engine) predictedWait(now time.Time) time.Duration {
 	tokens := 0
 	for _, g := range e.pending {
@@ -144,8 +146,8 @@
 		return 0
 	}
 	reading := e.readTime(tokens)
-	// What was read has its first token a lag later. Where that of the first one does
-	// not come in time, those behind it are taken for unread.
+	// The first token comes one lag after the prompt was read. If that of the first pending
+	// request is late, those behind it are assumed to be unread.
 	first := e.readTime(e.pending[0].tokens)
 	progress := max(0, now.Sub(e.readingSince))
 	if progress > first+e.lag {
@@ -154,7 +156,7 @@
 	return max(0, reading-progress)
 }
 
-// stalled tells that the engine began nothing for far longer than predicted.
+// isStalled reports whether the engine began nothing for far longer than predicted.
 func (e *engine) isStalled(now time.Time) bool {
 	if len(e.pending) == 0 {
 		return false
@@ -167,13 +169,13 @@
 	return now.Sub(since) > e.lag+e.readTime(first.tokens)+stallTimeout
 }
 
-// usable tells whether the engine is well and may get new work. While cold, it may have
-// had enough for now.
+// isUsable reports whether the engine is healthy and may get new work. It does not check the
+// limit of a cold engine.
 func (e *engine) isUsable(now time.Time) bool {
 	return e.life.Admits() && now.After(e.ejectedUntil) && !e.isStalled(now)
 }
 
-// fits tells whether the engine has a slot and memory for a prompt.
+// fits reports whether the engine has a slot and cache room for a prompt.
 func (e *engine) fits(p *Prompt) bool {
 	if e.running >= e.Slots {
 		return false
@@ -182,7 +184,7 @@
 	return e.running == 0 || e.privateTokens+need <= int(maxPrivateFraction*float64(e.cacheCapacity))
 }
 
-// take books a request.
+// addGrant records a request that is assigned to the engine.
 func (e *engine) addGrant(g *grant, now time.Time) {
 	if len(e.pending) == 0 {
 		e.progressAt, e.readingSince = now, now
@@ -197,12 +199,12 @@
 	}
 }
 
-// keep notes that a part is in the engine's memory; those unused for longest
-// give way.
+// addCached adds a part to the prefix cache and evicts the least recently used ones if it is
+// full.
 func (e *engine) addCached(part Part) {
-	if at := e.cacheIndex[part.ID]; at != nil {
-		at.Value = cachedPart{Part: part}
-		e.cache.MoveToFront(at)
+	if elem := e.cacheIndex[part.ID]; elem != nil {
+		elem.Value = cachedPart{Part: part}
+		e.cache.MoveToFront(elem)
 		return
 	}
 	e.cacheIndex[part.ID] = e.cache.PushFront(cachedPart{Part: part})
@@ -212,40 +214,39 @@
 	}
 }
 
-// keepOld notes a part that is likely to be in the engine's memory, as the one
-// unused for longest.
-func (e *engine) addCachedOldest(part Part, believed bool) {
+// addCachedOldest adds a part that is likely to be in the prefix cache as the least recently
+// used one.
+func (e *engine) addCachedOldest(part Part, assumed bool) {
 	if e.cacheIndex[part.ID] != nil || e.cachedTokens+part.Tokens > e.cacheCapacity {
 		return
 	}
-	e.cacheIndex[part.ID] = e.cache.PushBack(cachedPart{Part: part, assumed: believed})
+	e.cacheIndex[part.ID] = e.cache.PushBack(cachedPart{Part: part, assumed: assumed})
 	e.cachedTokens += part.Tokens
 }
 
-// list takes the engine's own account of what it keeps in place of what was only
-// believed.
+// applyCacheReport replaces assumed parts by those that the engine reported.
 func (e *engine) applyCacheReport(parts []Part) {
 	e.hasCacheReport = true
-	for at := e.cache.Front(); at != nil; {
-		next := at.Next()
-		if at.Value.(cachedPart).assumed {
-			e.evict(at)
+	for elem := e.cache.Front(); elem != nil; {
+		next := elem.Next()
+		if elem.Value.(cachedPart).assumed {
+			e.evict(elem)
 		}
-		at = next
+		elem = next
 	}
 	for _, part := range parts {
 		e.addCachedOldest(part, false)
 	}
 }
 
-func (e *engine) evict(at *list.Element) {
-	part := at.Value.(cachedPart)
-	e.cache.Remove(at)
+func (e *engine) evict(elem *list.Element) {
+	part := elem.Value.(cachedPart)
+	e.cache.Remove(elem)
 	delete(e.cacheIndex, part.ID)
 	e.cachedTokens -= part.Tokens
 }
 
-// begin notes the first token of a request.
+// begin records the first token of a request.
 func (e *engine) begin(g *grant, now time.Time) {
 	if g.begun {
 		return
@@ -276,7 +277,7 @@
 	}
 }
 
-// finish takes a request off the books.
+// finish removes a request that ended.
 func (e *engine) finish(g *grant, outcome Outcome, now time.Time) {
 	if !g.begun {
 		e.removePending(g)
@@ -286,13 +287,14 @@
 	switch outcome.(type) {
 	case Done, Unused:
 	case NotRun:
-		// It is full, or its entry is stale: a short rest, without doubt.
+		// The engine is full, or its entry is stale: eject it only briefly, and count no
+		// failure.
 		e.ejectedUntil = now.Add(minEjection / 5)
 	case Unreachable:
 		e.recordFailure(now)
 	case Broken, Ended:
-		// One answer that was lost says little: sending the engine's prompts
-		// elsewhere would cost far more. A crash breaks many at once.
+		// One broken answer says little, and sending the engine's prompts elsewhere would cost
+		// far more. A crash breaks many at once.
 		if e.consecutiveBroken++; e.consecutiveBroken >= maxConsecutiveBroken {
 			e.recordFailure(now)
 		}
@@ -300,10 +302,10 @@
 }
 
 func (e *engine) recordFailure(now time.Time) {
-	rest := min(minEjection<<min(e.consecutiveFailures, 8), maxEjection)
+	ejection := min(minEjection<<min(e.consecutiveFailures, 8), maxEjection)
 	e.consecutiveFailures++
-	e.ejectedUntil, e.failedAt = now.Add(rest), now
-	// It may be back after a new start, before its entry says so.
+	e.ejectedUntil, e.failedAt = now.Add(ejection), now
+	// The engine may be back as a new instance before its entry reports it.
 	e.life.AssumeCold(lifecycle.Returned, e.ejectedUntil.Add(e.coldBound.Duration))
 }
 
--- a/pkg/dispatch/exposure.go
+++ b/pkg/dispatch/exposure.go
@@ -9,10 +9,10 @@
 	"github.com/quaylead/quaylead/pkg/quarantine"
 )
 
-// exposure is where requests of one fingerprint run now: how many at each engine.
+// exposure counts the running requests of one fingerprint at each engine.
 type exposure map[*engine]int
 
-// expose notes that a granted request runs at its engine.
+// addExposure records that a granted request runs at its engine.
 func (p *Pool) addExposure(g *grant) {
 	f := g.req.Fingerprint
 	if f.IsZero() {
@@ -27,85 +27,89 @@
 	}
 }
 
-// unexpose notes that it runs there no more.
+// removeExposure records that it no longer runs there.
 func (p *Pool) removeExposure(g *grant) {
 	f := g.req.Fingerprint
 	if f.IsZero() {
 		return
 	}
-	at := p.exposed[f]
-	if at[g.engine]--; at[g.engine] <= 0 {
-		delete(at, g.engine)
+	running := p.exposed[f]
+	if running[g.engine]--; running[g.engine] <= 0 {
+		delete(running, g.engine)
 		delete(g.engine.suspects, f)
 	}
-	if len(at) == 0 {
+	if len(running) == 0 {
 		delete(p.exposed, f)
 	}
 }
 
-// reach is which engines a request may go to, so that no more than quarantine.MostEnds ever
-// end under it, whichever boxes decide. Counted only as they end, repeats that came at once
-// ended an engine each; counted by the box that decides, boxes that decided at once, or one
-// after the other, ended three each (TestMostEndsUnderChange).
+// placementScope is the set of engines to which a request may go, so that no more than
+// quarantine.MaxEnds engines ever end under it, whichever boxes dispatch. When ends were only
+// counted as they occurred, concurrent repeats ended an engine each. When only the dispatching
+// box counted them, boxes that dispatched at the same time or one after the other ended three
+// each (TestMostEndsUnderChange).
 //
-// An engine of this box's own choice is open only to a request of which this box alone decides
-// and knows nothing yet. Else a request joins those that run, or goes to the engine that its
-// fingerprint ranks first, which boxes that know nothing of each other find alike. So there are
-// three even where two boxes both take themselves for the only one.
+// A box may choose any engine for a request only if it alone dispatches, and nothing is known of
+// the request yet. Otherwise the request joins the engines that run it already, or goes to the
+// engine that its fingerprint ranks first, which boxes find alike without knowing of each other.
+// So no more than three engines end even if two boxes both consider themselves the only
+// dispatcher.
 type placementScope struct {
-	// wider is set where it may go to any engine; else it may join those that run it.
+	// anyEngine is set if the request may go to any engine. Otherwise it may go to the engines
+	// that run it, in exposed, and to preferred.
 	anyEngine bool
 	exposed   exposure
-	// first is the engine that it may go to beside these; nil where there is none.
+	// preferred is a further engine that the request may go to; nil if there is none.
 	preferred *engine
-	// fingerprint is the request's, and ends how many engines ended under it.
+	// fingerprint is the request's, and ends the number of engines that ended under it.
 	fingerprint quarantine.Fingerprint
 	ends        int
 }
 
-// reachOf finds out about a request.
+// placementScope returns the engines that a request may go to.
 func (p *Pool) placementScope(req *Request, now time.Time) placementScope {
 	if req.Fingerprint.IsZero() {
 		return placementScope{anyEngine: true}
 	}
-	verdict := p.Ledger.Check(req.Fingerprint, now)
-	at := p.exposed[req.Fingerprint]
-	if verdict.Quarantined() {
+	status := p.Ledger.Check(req.Fingerprint, now)
+	running := p.exposed[req.Fingerprint]
+	if status.Quarantined() {
 		return placementScope{}
 	}
-	r := placementScope{exposed: at, fingerprint: req.Fingerprint, ends: verdict.Ends}
+	scope := placementScope{exposed: running, fingerprint: req.Fingerprint, ends: status.Ends}
 	switch {
-	case len(at) >= verdict.Allowed:
-	case len(at) == 0 && verdict.Ends == 0 && !p.Contested:
-		r.anyEngine = true
+	case len(running) >= status.Allowed:
+	case len(running) == 0 && status.Ends == 0 && !p.Contested:
+		scope.anyEngine = true
 	default:
-		r.preferred = p.preferredEngine(req, verdict.Ends, now)
+		scope.preferred = p.preferredEngine(req, status.Ends, now)
 	}
-	return r
+	return scope
 }
 
-// accountTime is how long an engine that has just failed may have ended under a request of
-// another box before that box's account of it comes.
+// endReportDelay is the longest time after an engine's failure in which another box's report may
+// arrive that the engine ended under its request.
 const endReportDelay = 100 * time.Millisecond
 
-// firstFor is the engine that a request's fingerprint ranks first, of those that may serve it:
-// alike at all boxes that know the same engines, whatever else they know. The next engine
-// follows one that ended under the request, as ends did, and one that failed only when no
-// account of that can be on its way: nil until then.
+// preferredEngine returns the engine that a request's fingerprint ranks first among those that
+// may serve it. All boxes that know the same engines find the same one, whatever else they know.
+// An engine that ended under the request or cannot take it is skipped. One that failed less than
+// endReportDelay ago still counts, and the result is nil if it ranks first: a report that it
+// ended under the request may be on its way.
 func (p *Pool) preferredEngine(req *Request, ends int, now time.Time) *engine {
 	var preferred *engine
 	var weight uint64
 	usable := false
 	for _, e := range p.sorted {
-		takes := p.snapshot(e, now).usable && p.allows(e, req, now)
-		if !takes && now.Sub(e.failedAt) >= endReportDelay {
+		canTake := p.snapshot(e, now).usable && p.allows(e, req, now)
+		if !canTake && now.Sub(e.failedAt) >= endReportDelay {
 			continue
 		}
 		if ends > 0 && p.Ledger.HasEnded(req.Fingerprint, e.instance()) {
 			continue
 		}
-		if own := e.weight(req.Fingerprint); preferred == nil || own > weight {
-			preferred, weight, usable = e, own, takes
+		if w := e.weight(req.Fingerprint); preferred == nil || w > weight {
+			preferred, weight, usable = e, w, canTake
 		}
 	}
 	if !usable {
@@ -114,7 +118,7 @@
 	return preferred
 }
 
-// weight ranks the engine for a fingerprint, by rendezvous hash.
+// weight ranks the engine for a fingerprint, by rendezvous hashing.
 func (e *engine) weight(f quarantine.Fingerprint) uint64 {
 	var key [len(f) + 8]byte
 	copy(key[:], f[:])
@@ -122,38 +126,39 @@
 	return xxhash.Sum64(key[:])
 }
 
-// start is the life of the engine that the pool knows.
+// instance returns the instance of the engine that the pool knows.
 func (e *engine) instance() quarantine.Instance {
 	return quarantine.InstanceOf(e.Service, e.ID, e.Born)
 }
 
-// takes tells whether the request may go to an engine.
-func (r placementScope) includes(e *engine) bool {
-	return r.anyEngine || e == r.preferred || r.exposed[e] > 0
+// includes reports whether the request may go to an engine.
+func (s placementScope) includes(e *engine) bool {
+	return s.anyEngine || e == s.preferred || s.exposed[e] > 0
 }
 
-// beside is the most ends of another suspect at an engine, for one that is a suspect itself.
-func (r placementScope) maxOtherEnds(e *engine) (most int) {
-	if r.ends == 0 {
+// maxOtherEnds returns, for a request under which engines ended, the most ends of any other such
+// request that runs at an engine; 0 for other requests.
+func (s placementScope) maxOtherEnds(e *engine) (most int) {
+	if s.ends == 0 {
 		return 0
 	}
 	for other, ends := range e.suspects {
-		if other != r.fingerprint {
+		if other != s.fingerprint {
 			most = max(most, ends)
 		}
 	}
 	return most
 }
 
-// quarantined tells whether a request is to go to no engine. That is asked of each one in
-// line at each look: 37 microseconds for 400 of them in place of 24 (BenchmarkDecide), so that
-// one that waits as the third engine ends is refused within milliseconds.
+// isQuarantined reports whether a request must not go to any engine. Decide checks it for each
+// waiting request, which takes 37 instead of 24 microseconds for 400 of them (BenchmarkDecide),
+// so that a request that waits while its third engine ends is refused within milliseconds.
 func (p *Pool) isQuarantined(req *Request, now time.Time) bool {
 	return !req.Fingerprint.IsZero() && p.Ledger.Check(req.Fingerprint, now).Quarantined()
 }
 
-// noteEnded takes the account of a router that an engine ended while it ran a request.
-// Wherever else that runs, it is a suspect now.
+// recordEnd records a router's report that an engine ended while it ran a request. Wherever else
+// the request runs, it is a suspect now.
 func (p *Pool) recordEnd(ended Ended, now time.Time) {
 	p.Ledger.Merge([]quarantine.End{ended.End}, "", now)
 	f := ended.End.Fingerprint
--- a/pkg/dispatch/history.go
+++ b/pkg/dispatch/history.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// History is what one router's requests were granted of late. A router tells it to a box
-// that takes over, which would else know of a customer's service only what still runs: who
-// had most is then first in turn again. In drawn fleets with a change of the box that
-// dispatches, customers got down to 0.58 of what was due to them without it. It is not
-// safe for concurrent use.
+// History is what the requests of one router were recently granted. A router reports it to a box
+// that takes over. That box would otherwise know only the running requests, and the customers
+// served most would be first in turn again: in random fleets with a change of the dispatching
+// box, customers got down to 0.58 of what was due to them. It is not safe for concurrent use.
 type History struct {
 	// Window is the time over which grants count.
 	Window time.Duration
@@ -23,17 +22,16 @@
 	customer, route string
 }
 
-// Service is what a customer was granted of one route, in tokens as Prompt.Cost counts
-// them.
+// GrantTotal is what a customer was granted for one route, in tokens as counted by Prompt.Cost.
 type GrantTotal struct {
 	Customer, Route string
 	Tokens          float64
 }
 
-// Grant notes a granted request.
+// Grant records a granted request.
 func (h *History) Grant(req *Request, now time.Time) { h.add(req, 1, now) }
 
-// Refund takes it back, where the customer got nothing by it.
+// Refund takes back a grant from which the customer got nothing.
 func (h *History) Refund(req *Request, now time.Time) { h.add(req, -1, now) }
 
 func (h *History) add(req *Request, factor float64, now time.Time) {
@@ -47,7 +45,7 @@
 	h.sums[key].add(factor*req.Cost(), now, h.Window)
 }
 
-// Sum is what one customer was granted.
+// Granted returns what one customer was granted.
 func (h *History) Granted(customer string, now time.Time) (granted float64) {
 	for key, sum := range h.sums {
 		if key.customer == customer {
@@ -58,8 +56,9 @@
 	return granted
 }
 
-// Told is what to tell a box that is told of what runs as well, in a fixed order.
-func (h *History) Report(running []*Request, now time.Time) (told []GrantTotal) {
+// Report returns, in a fixed order, what to report to a box that also receives the running
+// requests, whose grants are left out.
+func (h *History) Report(running []*Request, now time.Time) (totals []GrantTotal) {
 	left := map[historyKey]float64{}
 	for key, sum := range h.sums {
 		sum.advance(now, h.Window)
@@ -77,18 +76,18 @@
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(left), order) {
 		if left[key] >= 1 {
-			told = append(told, GrantTotal{key.customer, key.route, left[key]})
+			totals = append(totals, GrantTotal{key.customer, key.route, left[key]})
 		}
 	}
-	return told
+	return totals
 }
 
-// Recall books what a router's requests were granted by another box.
-func (p *Pool) AddHistory(s GrantTotal, now time.Time) {
-	a := p.account(s.Customer)
-	for _, u := range []*usage{&a.usage, &a.queue(s.Route).usage} {
-		u.requested.add(s.Tokens, now, p.Rules.Window)
-		u.granted.add(s.Tokens, now, p.Rules.Window)
+// AddHistory records what a router's requests were granted by another box.
+func (p *Pool) AddHistory(total GrantTotal, now time.Time) {
+	a := p.account(total.Customer)
+	for _, u := range []*usage{&a.usage, &a.queue(total.Route).usage} {
+		u.requested.add(total.Tokens, now, p.Rules.Window)
+		u.granted.add(total.Tokens, now, p.Rules.Window)
 	}
-	p.granted.add(s.Tokens, now, p.Rules.Window)
+	p.granted.add(total.Tokens, now, p.Rules.Window)
 }
--- a/pkg/dispatch/other_groups.go
+++ b/pkg/dispatch/other_groups.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Elsewhere is what one router's requests of a customer asked for and got in the other groups
-// of engines of a service, within the window over which shares are counted. Prompts of a
-// customer may fall on few groups: what counts is what it gets over all of them.
+// OtherGroupUsage is what one router's requests of a customer requested and were granted in the
+// other groups of engines of a service, within the window over which shares are counted. A
+// customer's prompts may go to few groups only; its share is counted over all of them.
 type OtherGroupUsage struct {
 	Requested, Granted float64
 }
 
-// elsewhere is what all routers told of a customer.
+// otherGroupTotals sums up what all boxes reported of a customer.
 type otherGroupTotals struct {
-	// byRouter is by the name's hash of the box that told.
+	// byBox is keyed by the hash of the name of the reporting box.
 	byBox map[uint64]reportedUsage
 	sum   OtherGroupUsage
 }
@@ -21,27 +21,27 @@
 	at time.Time
 }
 
-// note takes what a router tells with a request.
-func (e *otherGroupTotals) record(from uint64, told OtherGroupUsage, now time.Time) {
-	before, had := e.byBox[from]
-	if !had && told == (OtherGroupUsage{}) {
+// record applies the usage that a box reported with a request.
+func (e *otherGroupTotals) record(box uint64, usage OtherGroupUsage, now time.Time) {
+	previous, ok := e.byBox[box]
+	if !ok && usage == (OtherGroupUsage{}) {
 		return
 	}
 	if e.byBox == nil {
 		e.byBox = map[uint64]reportedUsage{}
 	}
-	e.byBox[from] = reportedUsage{told, now}
-	e.sum.Requested += told.Requested - before.Requested
-	e.sum.Granted += told.Granted - before.Granted
+	e.byBox[box] = reportedUsage{usage, now}
+	e.sum.Requested += usage.Requested - previous.Requested
+	e.sum.Granted += usage.Granted - previous.Granted
 }
 
-// advance drops what was told before the window.
+// advance drops reports from before the window.
 func (e *otherGroupTotals) advance(now time.Time, length time.Duration) {
-	for from, told := range e.byBox {
-		if now.Sub(told.at) > length {
-			delete(e.byBox, from)
-			e.sum.Requested -= told.Requested
-			e.sum.Granted -= told.Granted
+	for box, usage := range e.byBox {
+		if now.Sub(usage.at) > length {
+			delete(e.byBox, box)
+			e.sum.Requested -= usage.Requested
+			e.sum.Granted -= usage.Granted
 		}
 	}
 	if len(e.byBox) == 0 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// got is what the customer was granted over all groups.
+// totalGranted returns what the customer was granted over all groups.
 func (a *account) totalGranted() float64 { return a.granted.sum + a.otherGroups.sum.Granted }
 
-// wanted is what it asked for over all groups.
+// totalRequested returns what the customer requested over all groups.
 func (a *account) totalRequested() float64 { return a.requested.sum + a.otherGroups.sum.Requested }
--- a/pkg/dispatch/place.go
+++ b/pkg/dispatch/place.go
@@ -12,23 +12,23 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// partDemand is the traffic of a shared part, and where it is kept.
+// partStats records the demand for a shared part, and where it is cached.
 type partStats struct {
-	// ranked are the engines by rendezvous hash. It stays put when others come
-	// and go.
+	// ranked are the engines by rendezvous hash, so that the order of the others stays when an
+	// engine is added or removed.
 	ranked []*engine
-	// keepers are engines that read it, and may keep it still.
+	// holders are engines that read the part, and may still have it cached.
 	holders []*engine
-	// load is a mean of the engine time that its requests take.
+	// load is an average of the engine time that its requests take.
 	load      float64
 	updatedAt time.Time
 }
 
-// demandMemory is the time over which a part's load is averaged.
+// loadWindow is the time over which the load of a part is averaged.
 const loadWindow = 3 * time.Second
 
-// homeKey is the part that decides where a prompt is kept: its last shared one,
-// which is kept only together with those before it.
+// homeKey returns the ID of the part that decides where a prompt is cached: its last shared
+// part, which is cached only together with those before it.
 func homeKey(p *Prompt) uint64 {
 	shared := p.Shared()
 	if len(shared) == 0 {
@@ -37,20 +37,19 @@
 	return shared[len(shared)-1].ID
 }
 
-// smallShared is the number of shared tokens up to which a prompt may go
-// anywhere: reading them again costs less than waiting. It is about one piece of
-// a prompt's reading.
+// maxShortShared is the number of shared tokens up to which a prompt may go to any engine, as
+// reading them again costs less than waiting. It is about one chunk of an engine's prefill.
 const maxShortShared = 1000
 
 func hasLongShared(p *Prompt) bool { return sharedTokens(p) > maxShortShared }
 
-// PlaceKey decides, in a pool of many engines, among which of them a request is
-// placed: prompts with the same long part go together, others are spread.
-func (a *Request) PlacementKey() uint64 {
-	if hasLongShared(&a.Prompt) {
-		return homeKey(&a.Prompt)
+// PlacementKey returns the key by which a pool of many engines chooses the group of engines for
+// a request: prompts with the same long shared part go to one group, others are spread.
+func (r *Request) PlacementKey() uint64 {
+	if hasLongShared(&r.Prompt) {
+		return homeKey(&r.Prompt)
 	}
-	return xxhash.Sum64String(a.ID)
+	return xxhash.Sum64String(r.ID)
 }
 
 func sharedTokens(p *Prompt) int {
@@ -61,33 +60,33 @@
 	return total
 }
 
-// demand notes a request for a part.
+// recordDemand records a request for the shared part of its prompt.
 func (p *Pool) recordDemand(prompt *Prompt, now time.Time) {
 	if !hasLongShared(prompt) {
 		return
 	}
-	part := p.statsFor(prompt, now)
-	part.decay(now)
-	part.load += float64(prompt.Last().Tokens) / initialRate / loadWindow.Seconds()
+	stats := p.statsFor(prompt, now)
+	stats.decay(now)
+	stats.load += float64(prompt.Last().Tokens) / initialRate / loadWindow.Seconds()
 	p.evictParts(now)
 }
 
-// part is the entry of the part that decides where a prompt is kept.
+// statsFor returns the entry of the part that decides where a prompt is cached.
 func (p *Pool) statsFor(prompt *Prompt, now time.Time) *partStats {
 	key := homeKey(prompt)
-	part := p.parts[key]
-	first := part == nil
+	stats := p.parts[key]
+	first := stats == nil
 	if first {
-		part = &partStats{updatedAt: now}
-		p.parts[key] = part
+		stats = &partStats{updatedAt: now}
+		p.parts[key] = stats
 	}
-	if part.ranked == nil {
-		part.ranked = rank(key, p.sorted)
+	if stats.ranked == nil {
+		stats.ranked = rank(key, p.sorted)
 	}
 	if first {
-		p.assumeCached(part, prompt, now)
+		p.assumeCached(stats, prompt, now)
 	}
-	return part
+	return stats
 }
 
 func (d *partStats) decay(now time.Time) {
@@ -95,32 +94,31 @@
 	d.updatedAt = now
 }
 
-// mostParts bounds the memory for parts; beyond it, those unused for a minute
-// are forgotten.
+// maxParts is the number of parts from which on those unused for a minute are evicted.
 const maxParts = 20000
 
 func (p *Pool) evictParts(now time.Time) {
 	if len(p.parts) < maxParts {
 		return
 	}
-	for key, part := range p.parts {
-		if now.Sub(part.updatedAt) > time.Minute {
+	for key, stats := range p.parts {
+		if now.Sub(stats.updatedAt) > time.Minute {
 			delete(p.parts, key)
 		}
 	}
 }
 
-// homes are the engines that a part should be kept at.
+// homes returns the engines at which the shared part of a prompt should be cached.
 func (p *Pool) homes(req *Request, now time.Time) []*engine {
-	part := p.statsFor(&req.Prompt, now)
-	part.decay(now)
-	most := p.Rules.MinHomes + int(part.load/p.Rules.LoadPerHome)
-	homes := make([]*engine, 0, most)
-	for _, e := range part.ranked {
+	stats := p.statsFor(&req.Prompt, now)
+	stats.decay(now)
+	count := p.Rules.MinHomes + int(stats.load/p.Rules.LoadPerHome)
+	homes := make([]*engine, 0, count)
+	for _, e := range stats.ranked {
 		if p.snapshot(e, now).usable && p.allows(e, req, now) {
 			homes = append(homes, e)
 		}
-		if len(homes) == most {
+		if len(homes) == count {
 			break
 		}
 	}
@@ -128,34 +126,34 @@
 }
 
 func rank(key uint64, engines []*engine) []*engine {
-	type weighed struct {
+	type weighted struct {
 		engine *engine
 		weight uint64
 	}
-	all := make([]weighed, 0, len(engines))
+	weights := make([]weighted, 0, len(engines))
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], key)
 	for _, e := range engines {
 		digest := xxhash.New()
 		digest.Write(seed[:])
 		digest.WriteString(e.ID)
-		all = append(all, weighed{engine: e, weight: digest.Sum64()})
+		weights = append(weights, weighted{engine: e, weight: digest.Sum64()})
 	}
-	slices.SortFunc(all, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
-	ranked := make([]*engine, len(all))
-	for i := range all {
-		ranked[i] = all[i].engine
+	slices.SortFunc(weights, func(a, b weighted) int { return cmp.Compare(b.weight, a.weight) })
+	ranked := make([]*engine, len(weights))
+	for i := range weights {
+		ranked[i] = weights[i].engine
 	}
 	return ranked
 }
 
-// wait is an engine's predicted wait, with what other routers are likely to
-// have sent.
+// predictedWait returns an engine's predicted wait, scaled up for what other routers are likely
+// to have sent.
 func (p *Pool) predictedWait(e *engine, now time.Time) time.Duration {
 	return e.predictedWait(now) * time.Duration(max(1, p.Routers))
 }
 
-// look finds out about an engine, once in a round unless it was granted since.
+// snapshot returns the state of an engine. It is taken once in a round, and again after a grant.
 func (p *Pool) snapshot(e *engine, now time.Time) engineSnapshot {
 	if e.snapshot.round != p.round {
 		e.snapshot = engineSnapshot{round: p.round, usable: p.isUsable(e, now)}
@@ -167,8 +165,8 @@
 	return e.snapshot
 }
 
-// usable tells whether an engine may get one more request now. One that stopped beginning
-// requests may have started again by the time that it goes on.
+// isUsable reports whether an engine may get one more request now. A stalled engine is assumed
+// to be cold afterwards, as it may have restarted.
 func (p *Pool) isUsable(e *engine, now time.Time) bool {
 	if e.isStalled(now) {
 		e.life.AssumeCold(lifecycle.Returned, now.Add(e.coldBound.Duration))
@@ -176,80 +174,79 @@
 	return e.isUsable(now) && e.life.CanSend(e.coldBound, p.ColdFraction, now)
 }
 
-// findLeast is the best that is seen of any engine; an hour of wait where none may
-// get new work.
+// bestSnapshot combines the shortest wait of any engine with whether any is idle. The wait is
+// one hour if no engine may get new work.
 func (p *Pool) bestSnapshot(now time.Time) engineSnapshot {
-	least := engineSnapshot{wait: time.Hour}
+	best := engineSnapshot{wait: time.Hour}
 	for _, e := range p.sorted {
-		if seen := p.snapshot(e, now); seen.usable {
-			least.wait = min(least.wait, seen.wait)
-			least.idle = least.idle || seen.idle
+		if snapshot := p.snapshot(e, now); snapshot.usable {
+			best.wait = min(best.wait, snapshot.wait)
+			best.idle = best.idle || snapshot.idle
 		}
 	}
-	return least
+	return best
 }
 
-// place chooses the engine for a request; nil means that it has to wait. A prompt
-// whose shared parts are long goes to their homes, or to an engine that keeps them:
-// reading them again elsewhere would take from all. It waits for the best of them
-// rather than go where they have to be read. What it may end goes before that.
+// place chooses the engine for a request; nil means that it has to wait. A prompt with long
+// shared parts goes to their homes, or to an engine that has them cached, and waits for the best
+// of these rather than go where they have to be read again: that would take engine time from all
+// requests. The limits of placementScope take precedence over this.
 func (p *Pool) place(req *Request, level shareLevel, now time.Time) *engine {
 	if !p.hasRoom(p.best, level) {
 		return nil
 	}
-	among, within := p.sorted, p.placementScope(req, now)
-	if within.anyEngine && hasLongShared(&req.Prompt) {
-		among = p.candidates(req, now)
+	candidates, scope := p.sorted, p.placementScope(req, now)
+	if scope.anyEngine && hasLongShared(&req.Prompt) {
+		candidates = p.candidates(req, now)
 	}
-	best := p.cheapest(among, req, within, now)
+	best := p.cheapest(candidates, req, scope, now)
 	if best == nil || !p.hasRoom(best.snapshot, level) {
 		return nil
 	}
 	return best
 }
 
-// cheapest is the engine at which a request costs least, of those that it may go to; nil
-// where there is none. One under which engines ended costs what may go with it: it goes
-// where no other such request runs, so that a bystander does not meet a deadly one again,
-// and then where least runs. In drawn fleets that cut 51 other streams for each deadly
-// request, in place of 72 where it was placed like any other (TestDeadlyWays).
-func (p *Pool) cheapest(among []*engine, req *Request, within placementScope, now time.Time) *engine {
+// cheapest returns the engine with the lowest cost for a request among those that it may go to;
+// nil if there is none. For a request under which engines ended, the cost is what may break with
+// it: it goes where no other such request runs, so that an innocent one does not meet a deadly
+// one again, and then where the fewest requests run. In random fleets each deadly request broke
+// 51 other streams that way, instead of 72 when it was placed like any other (TestDeadlyWays).
+func (p *Pool) cheapest(candidates []*engine, req *Request, scope placementScope, now time.Time) *engine {
 	var best *engine
-	var cost time.Duration
-	var beside int
-	for _, e := range among {
-		if !within.includes(e) || !p.canTake(e, req, now) {
+	var bestCost time.Duration
+	var bestOtherEnds int
+	for _, e := range candidates {
+		if !scope.includes(e) || !p.canTake(e, req, now) {
 			continue
 		}
-		here, besideHere := e.snapshot.wait+p.readCost(e, req), within.maxOtherEnds(e)
-		if within.ends > 0 {
-			here = time.Duration(e.running)
+		cost, otherEnds := e.snapshot.wait+p.readCost(e, req), scope.maxOtherEnds(e)
+		if scope.ends > 0 {
+			cost = time.Duration(e.running)
 		}
-		if best == nil || besideHere < beside || (besideHere == beside && here < cost) {
-			best, cost, beside = e, here, besideHere
+		if best == nil || otherEnds < bestOtherEnds || (otherEnds == bestOtherEnds && cost < bestCost) {
+			best, bestCost, bestOtherEnds = e, cost, otherEnds
 		}
 	}
 	return best
 }
 
-// candidates are the homes of a prompt, and the engines that keep its parts.
+// candidates returns the homes of a prompt, and the engines that have its shared parts cached.
 func (p *Pool) candidates(req *Request, now time.Time) []*engine {
-	among := p.homes(req, now)
-	part := p.statsFor(&req.Prompt, now)
-	part.holders = slices.DeleteFunc(part.holders, func(e *engine) bool {
+	candidates := p.homes(req, now)
+	stats := p.statsFor(&req.Prompt, now)
+	stats.holders = slices.DeleteFunc(stats.holders, func(e *engine) bool {
 		_, shared := e.missingTokens(&req.Prompt)
 		return shared > 0 || p.engines[e.ID] != e
 	})
-	for _, e := range part.holders {
-		if !slices.Contains(among, e) {
-			among = append(among, e)
+	for _, e := range stats.holders {
+		if !slices.Contains(candidates, e) {
+			candidates = append(candidates, e)
 		}
 	}
-	return among
+	return candidates
 }
 
-// noteKeeper remembers that an engine reads the part that decides where a
-// prompt is kept.
+// recordHolder records that an engine reads the part that decides where a prompt is cached.
 func (p *Pool) recordHolder(prompt *Prompt, e *engine, now time.Time) {
 	if !hasLongShared(prompt) {
 		return
@@ -257,18 +254,18 @@
 	p.statsFor(prompt, now).addHolder(e)
 }
 
-// noteListed remembers that an engine lists a part. Any of them may be the last
-// shared one of a prompt; where else it belongs is found out when one comes.
-func (p *Pool) recordCachedPart(listed Part, e *engine, now time.Time) {
-	if listed.Tokens <= maxShortShared {
+// recordCachedPart records that an engine is reported to have a part cached. Any such part may
+// be the last shared one of a prompt; its other engines are ranked when such a prompt arrives.
+func (p *Pool) recordCachedPart(part Part, e *engine, now time.Time) {
+	if part.Tokens <= maxShortShared {
 		return
 	}
-	part := p.parts[listed.ID]
-	if part == nil {
-		part = &partStats{updatedAt: now}
-		p.parts[listed.ID] = part
+	stats := p.parts[part.ID]
+	if stats == nil {
+		stats = &partStats{updatedAt: now}
+		p.parts[part.ID] = stats
 	}
-	part.addHolder(e)
+	stats.addHolder(e)
 }
 
 func (d *partStats) addHolder(e *engine) {
@@ -277,13 +274,14 @@
 	}
 }
 
-// takes tells whether a request may go to an engine at all.
+// canTake reports whether an engine can take a request now, regardless of how long the request
+// would wait there.
 func (p *Pool) canTake(e *engine, req *Request, now time.Time) bool {
 	return p.snapshot(e, now).usable && p.allows(e, req, now) && e.fits(&req.Prompt)
 }
 
-// readCost is the time for reading a prompt; shared parts that have to be read
-// again count more, as that time is taken from others.
+// readCost returns the time for reading a prompt. Shared parts that have to be read again count
+// more, as that time is taken from other requests.
 func (p *Pool) readCost(e *engine, req *Request) time.Duration {
 	factor := p.Rules.MissFactor
 	if !hasLongShared(&req.Prompt) {
--- a/pkg/dispatch/prefill.go
+++ b/pkg/dispatch/prefill.go
@@ -2,40 +2,39 @@
 
 import "time"
 
-// pace is how fast an engine reads prompts, learnt from its first requests on.
+// prefillEstimate estimates how fast an engine reads prompts, from its first requests on.
 type prefillEstimate struct {
-	// rate is in prompt tokens a second, with the steps between pieces.
+	// rate is in prompt tokens a second, including the decode steps between chunks of the
+	// prompt.
 	rate float64
-	// lag is the time from an idle engine's taking a request to its first token,
-	// beside the reading: connection, steps, and the way back.
+	// lag is the time from when an idle engine takes a request to its first token, apart from
+	// the reading: connection, decode steps, and the way back.
 	lag time.Duration
 
-	// samples is the number of times that the rate was measured, and lags that of
-	// the lag.
+	// rateSamples and lagSamples are the numbers of samples of the rate and of the lag.
 	rateSamples, lagSamples int
-	// read and busy are the tokens and the time of the current sample.
+	// sampleTokens and sampleTime are the tokens and the reading time of the current sample.
 	sampleTokens float64
 	sampleTime   time.Duration
 }
 
 const (
-	// firstRate is believed of an engine before any engine of its pool was
-	// measured. It is of the order of what current engines read.
+	// initialRate is assumed before any engine of the pool was measured; it is the order of
+	// magnitude of current engines.
 	initialRate = 45000
-	// firstLag is the same for the lag; 50 to 70 ms were measured.
+	// initialLag is the same for the lag; engines had 50 to 70 ms.
 	initialLag = 60 * time.Millisecond
-	// earlySample is the busy time after which the rate is measured at first, and
-	// rateSample the same once earlySamples were taken: several prompts long.
+	// minEarlySampleTime is the reading time that makes one of the first samples of the rate, of
+	// which there are earlySamples, and minSampleTime that of later ones: several prompts long.
 	minEarlySampleTime = 40 * time.Millisecond
 	earlySamples       = 4
 	minSampleTime      = 300 * time.Millisecond
-	// paceGain is the least weight of a new sample; the first ones are averaged with
-	// what was believed.
+	// minRateGain is the minimum weight of a new sample; the first samples are averaged with the
+	// initial value.
 	minRateGain = 0.25
-	// lagGain is the same for the lag, of which each request is a sample.
+	// minLagGain is the same for the lag, of which each request is a sample.
 	minLagGain = 0.05
-	// slowestRate and fastestRate bound what a sample may say, and longestLag what
-	// one of the lag may.
+	// minRate and maxRate bound the value of a sample, and maxLag that of a sample of the lag.
 	minRate = 4000
 	maxRate = 400000
 	maxLag  = 500 * time.Millisecond
@@ -43,17 +42,17 @@
 
 func newPrefillEstimate() prefillEstimate { return prefillEstimate{rate: initialRate, lag: initialLag} }
 
-// measured tells whether the rate is more than a belief.
+// isMeasured reports whether the rate has been measured.
 func (p *prefillEstimate) isMeasured() bool { return p.rateSamples > 0 }
 
 func (p *prefillEstimate) readTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / p.rate * float64(time.Second))
 }
 
-// noteBegin takes the time of the first token of a request that the engine could read
-// from a time on. Queued ones were read right after the one before, so that the lag
-// is in the times of both, and what lies between is reading. Of others, the time is
-// put down to what is the larger part of it.
+// recordFirstToken evaluates the time from when the engine could start to read a prompt to its
+// first token. A queued prompt was read right after the one before, so the lag is contained in
+// both times and their difference is reading time. For others, the time is a sample of the rate
+// or of the lag, whichever is the larger part of it.
 func (p *prefillEstimate) recordFirstToken(tokens int, from, now time.Time, queued bool) {
 	took, reading := now.Sub(from), p.readTime(tokens)
 	if queued || reading > p.lag {
@@ -66,7 +65,7 @@
 	p.lag += time.Duration(gain * float64(sample-p.lag))
 }
 
-// noteRead takes the time that reading took.
+// recordRead adds tokens and the time taken to read them to the current sample of the rate.
 func (p *prefillEstimate) recordRead(tokens int, took time.Duration) {
 	p.sampleTokens += float64(tokens)
 	p.sampleTime += max(took, 0)
@@ -84,8 +83,7 @@
 	p.sampleTokens, p.sampleTime = 0, 0
 }
 
-// meanPace is what is believed of an engine that was not measured: the mean of those
-// that were.
+// meanEstimate returns the mean of the measured engines, which is assumed for the others.
 func (p *Pool) meanEstimate() prefillEstimate {
 	mean, count := prefillEstimate{}, 0
 	for _, e := range p.sorted {
@@ -103,9 +101,9 @@
 	return mean
 }
 
-// believePace has the engines that were not measured follow those that were. Until
-// then the waits predicted after a restart were two and a half times too long on
-// engines that read 110,000 tokens a second, and requests refused for that.
+// updateEstimates sets the rate of engines that were not measured to the mean of those that
+// were. Without it, waits predicted after a restart were two and a half times too long for
+// engines that read 110,000 tokens a second, and requests were refused for that.
 func (p *Pool) updateEstimates() {
 	mean := p.meanEstimate()
 	for _, e := range p.sorted {
--- a/pkg/dispatch/refusal.go
+++ b/pkg/dispatch/refusal.go
@@ -2,72 +2,72 @@
 
 import "time"
 
-// queueTime is the time in which as much as waits of a kind is granted, as far as the
-// last window tells; an hour where nothing was.
-func (p *Pool) drainTime(k *routeQueue, now time.Time) time.Duration {
-	k.granted.advance(now, p.Rules.Window)
+// drainTime returns the time in which a queue's waiting requests are granted at the rate of the
+// last window; one hour if the rate is too low or zero.
+func (p *Pool) drainTime(q *routeQueue, now time.Time) time.Duration {
+	q.granted.advance(now, p.Rules.Window)
 	waiting := 0.0
-	for _, req := range k.queue {
+	for _, req := range q.queue {
 		waiting += req.cost
 	}
-	if waiting >= k.granted.sum*float64(time.Hour)/float64(p.Rules.Window) {
+	if waiting >= q.granted.sum*float64(time.Hour)/float64(p.Rules.Window) {
 		return time.Hour
 	}
-	return time.Duration(waiting / k.granted.sum * float64(p.Rules.Window))
+	return time.Duration(waiting / q.granted.sum * float64(p.Rules.Window))
 }
 
-// hopeless tells that a request of a customer beyond its share can not be served
-// while it may wait here: as much of its kind waits before it as is granted in that
-// time. It is refused at once. Without this, those refused of a customer that asks
-// for ten times its share were held 105 ms on average, with it 21 ms (simulated). One
-// of each kind may always wait.
+// isBacklogTooLong reports whether a request of a customer over its share cannot be served
+// while it may wait here, because as much is queued before it as is granted in that time. Such a
+// request is refused at once. Otherwise refused requests of a customer with ten times its share
+// were held for 105 ms on average instead of 21 ms (simulated). One request in each queue may
+// always wait.
 func (p *Pool) isBacklogTooLong(a *account, req *Request, now time.Time) bool {
-	k := a.queue(req.Route)
-	if len(k.queue) == 0 || !p.isOverShare(a, req) {
+	q := a.queue(req.Route)
+	if len(q.queue) == 0 || !p.isOverShare(a, req) {
 		return false
 	}
-	return float64(p.drainTime(k, now)) > p.maxWait(req)
+	return float64(p.drainTime(q, now)) > p.maxWait(req)
 }
 
 const (
-	// comeBackSoonest is the least time that is predicted: some looks at the line.
+	// minRetryAfter is the shortest predicted time: a few calls of Decide.
 	minRetryAfter = 30 * time.Millisecond
-	// comeBackLatest is the most; nothing is known beyond the time over which shares
-	// are counted. It is told where no engine takes work by the operator's order, which
-	// holds for seconds.
+	// maxRetryAfter is the longest, as nothing is known beyond the window over which shares are
+	// counted. It is also used if no engine accepts work by order of the operator, as that holds
+	// for seconds.
 	maxRetryAfter = 4 * time.Second
-	// comeBackUnknown is for where no engine may get new work: how long one that
-	// failed rests at first.
+	// unknownRetryAfter is used if no engine may get new work: the first ejection of a failed
+	// engine takes that long.
 	unknownRetryAfter = minEjection
-	// returnSpread is the part of a rest over which callers are spread that come back once
-	// it is over.
+	// retryJitter is the fraction of a rest over which retries are spread after its end.
 	retryJitter = 0.25
 )
 
-// AfterRest is when a caller comes back where all that may serve it rest: after the first of
-// them returns, by a lot between 0 and 1 spread over a part of that time. The endpoints that
-// turned so many away would turn them away again if they returned together.
-func RetryAfterBackoff(left time.Duration, lot float64) time.Duration {
-	return left + time.Duration(lot*retryJitter*float64(left))
+// RetryAfterBackoff returns when to retry if all endpoints that may serve a request rest: after
+// the first rest ends in the time left, plus a fraction of it given by random, a number
+// between 0 and 1. The endpoints that rejected so many requests would reject them again if they
+// all came back at once.
+func RetryAfterBackoff(left time.Duration, random float64) time.Duration {
+	return left + time.Duration(random*retryJitter*float64(left))
 }
 
-// comeBack is the time after which a refused request comes back: when half of what
-// it would wait for is predicted to be over, as others leave the line too, spread from
-// a quarter to three quarters so that those refused together do not return together.
-// Callers whose first try is refused and whose second one is
-// served are answered within their aim where that is soon enough; with 1.5 to 3 s for
-// all beyond their share, the aims being 0.3 to 0.6 s, each of them was late: on days
-// with trouble 5 in 100 less of what was asked for was answered in time.
+// retryAfter returns the time after which to retry a refused request: half of the predicted time
+// until there is room, as other requests leave the queue too, spread from a quarter to three
+// quarters so that requests refused together are not retried together. A caller whose first try
+// is refused and whose second is served is answered within its latency target if the retry comes
+// soon enough. With 1.5 to 3 s for all customers over their share, and latency targets of 0.3 to
+// 0.6 s, every retry was late: on days with failures 5 in 100 less of what was requested was
+// answered in time.
 func (p *Pool) retryAfter(a *account, req *Request, over bool, now time.Time) time.Duration {
-	if left := p.earliestBackoffEnd(req, now).Sub(now); left > 0 {
+	if left := p.earliestRestEnd(req, now).Sub(now); left > 0 {
 		return RetryAfterBackoff(left, p.Rand.Float64())
 	}
-	room := p.timeUntilRoom(a, req, over, now)
-	room = min(max(room, minRetryAfter), maxRetryAfter)
-	return room/4 + time.Duration(p.Rand.Float64()*float64(room/2))
+	wait := p.timeUntilRoom(a, req, over, now)
+	wait = min(max(wait, minRetryAfter), maxRetryAfter)
+	return wait/4 + time.Duration(p.Rand.Float64()*float64(wait/2))
 }
 
-// roomIn is the predicted time until there is room for a request that is refused.
+// timeUntilRoom returns the predicted time until there is room for a refused request.
 func (p *Pool) timeUntilRoom(a *account, req *Request, over bool, now time.Time) time.Duration {
 	if !p.hasEligibleEngine(req, now) {
 		return maxRetryAfter
--- a/pkg/dispatch/request.go
+++ b/pkg/dispatch/request.go
@@ -1,6 +1,6 @@
-// Package dispatch decides, for one pool of model engines, which waiting
-// request goes to which engine and when, and which is told to come back. It is
-// pure: events in, decisions out, with the time as an argument.
+// Package dispatch decides, for one pool of model engines, which waiting request goes to which
+// engine and when, and which is refused with a time to retry. It does no I/O: events are its
+// input and decisions its output, and the time is an argument.
 package dispatch
 
 import (
@@ -10,25 +10,25 @@
 	"github.com/quaylead/quaylead/pkg/rollout"
 )
 
-// Part is a piece of a prompt. Parts are shared between requests; the last one
-// of a prompt belongs to its request or session.
+// Part is a piece of a prompt. Requests share parts, except the last one of a prompt, which
+// belongs to its request or session.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Prompt is what is known beforehand of the work of a request.
+// Prompt is what is known of the work of a request before it runs.
 type Prompt struct {
-	// Parts are in order; an engine that keeps a part can use it only if it
-	// keeps every part before it as well.
+	// Parts are in order. An engine that has a part cached can use it only if it also has every
+	// part before it.
 	Parts []Part
-	// MaxOutput is the most tokens that may be made.
+	// MaxOutput is the maximum number of tokens to generate.
 	MaxOutput int
-	// HintOutput is the caller's estimate of them; 0 means none.
+	// HintOutput is the caller's estimate of that number; 0 means none.
 	HintOutput int
 }
 
-// Tokens is the length of the prompt.
+// Tokens returns the length of the prompt.
 func (p *Prompt) Tokens() int {
 	total := 0
 	for _, part := range p.Parts {
@@ -37,7 +37,7 @@
 	return total
 }
 
-// Shared are the parts that other requests may have too.
+// Shared returns the parts that other requests may have too.
 func (p *Prompt) Shared() []Part {
 	if len(p.Parts) == 0 {
 		return nil
@@ -45,7 +45,7 @@
 	return p.Parts[:len(p.Parts)-1]
 }
 
-// Last is the part of the request itself.
+// Last returns the part that belongs to the request itself.
 func (p *Prompt) Last() Part {
 	if len(p.Parts) == 0 {
 		return Part{}
@@ -53,7 +53,7 @@
 	return p.Parts[len(p.Parts)-1]
 }
 
-// Output is the number of tokens that the answer is expected to have.
+// ExpectedOutput returns the number of tokens that the answer is expected to have.
 func (p *Prompt) ExpectedOutput() int {
 	if p.HintOutput > 0 {
 		return min(p.HintOutput, max(p.MaxOutput, 1))
@@ -61,55 +61,55 @@
 	return max(1, p.MaxOutput/defaultOutputDivisor)
 }
 
-// hintlessPart of the largest answer is expected where the caller gives no
-// estimate; answers are seldom as long as they may be.
+// defaultOutputDivisor is the divisor of MaxOutput that estimates the output if the caller gives
+// no estimate; answers are seldom as long as they may be.
 const defaultOutputDivisor = 2
 
-// Cost is the service of the request: a token read counts once, a token made
-// twice, as the pool's rate is stated.
+// Cost returns the cost of the request in tokens: a token read counts once and a token generated
+// twice, as in the stated rate of the pool.
 func (p *Prompt) Cost() float64 {
 	return float64(p.Tokens()) + 2*float64(p.ExpectedOutput())
 }
 
-// Ask is a request that waits for an engine.
+// Request is a request that waits for an engine.
 type Request struct {
 	ID       string
 	Customer string
-	// Route is the name of its route. Requests of one route are of one kind: each
-	// kind of a customer gets the same part of what it asks for.
+	// Route is the name of its route. Each route of a customer gets the same fraction of what it
+	// requests.
 	Route string
 	Prompt
-	// Router numbers the way by which the request came. The verdict goes back by it,
-	// and Pool.Forget drops what came by it.
+	// Stream is the number of the stream by which the request came. The decision is sent back by
+	// it, and Pool.DropStream drops the requests of a stream.
 	Stream uint64
-	// Box is the hash of the name of the box that asks, and Elsewhere what that box's requests
-	// of the customer got in other groups of the service.
+	// BoxHash is the hash of the name of the box that sent it. OtherGroupUsage is what that
+	// box's requests of the customer got in other groups of the service.
 	BoxHash uint64
 	OtherGroupUsage
-	// Arrived is when the router took it.
+	// Arrived is when the router received it.
 	Arrived time.Time
-	// Aim is the time, from Arrived, within which its first event should come.
+	// LatencyTarget is the time from Arrived within which its first event should come.
 	LatencyTarget time.Duration
-	// Expires is when nobody waits for it any more.
+	// Deadline is the time after which nobody waits for the answer.
 	Deadline time.Time
 	// Excluded are the endpoints that it must not go to again.
 	Excluded []string
 	// Zones are the availability zones that it may go to; none means any.
 	Zones []string
-	// Releases are the endpoints that it may go to, by the version of their software.
+	// Releases are the software versions of the endpoints that it may go to.
 	Releases rollout.Side
-	// Fingerprint is what repeats of the request have in common; zero means unknown.
+	// Fingerprint identifies repeats of the same request; zero means unknown.
 	Fingerprint quarantine.Fingerprint
 
-	// cost is Prompt.Cost, once.
+	// cost caches Prompt.Cost.
 	cost float64
-	// hopeless requests are refused unless they can go at the next look.
+	// refuseNow requests are refused unless the next Decide grants them.
 	refuseNow bool
-	// triedIn is the last round in which an engine was looked for.
+	// triedRound is the last round in which an engine was searched for it.
 	triedRound uint64
 }
 
-// Decision is one of Grant and Turn.
+// Decision is one of Grant and Refusal.
 type Decision interface {
 	decision()
 }
@@ -118,54 +118,54 @@
 type Grant struct {
 	Request  *Request
 	Endpoint string
-	// Wait is the predicted time until the engine begins to read the prompt.
+	// Wait is the predicted time until the engine starts to read the prompt.
 	Wait time.Duration
-	// Read is the predicted time for reading it.
+	// ReadTime is the predicted time for reading it.
 	ReadTime time.Duration
-	// Missing are the tokens of shared parts that the engine has to read again.
+	// MissingTokens are the tokens of shared parts that the engine has to read again.
 	MissingTokens int
 }
 
-// Turn gives a request up: it is to come back later.
+// Refusal refuses a request, which is to be retried later.
 type Refusal struct {
 	Request    *Request
 	RetryAfter time.Duration
-	// Over tells that the customer already has its share.
+	// OverShare is set if the customer already has its share.
 	OverShare bool
-	// Resting tells that all engines that may serve it rest or leave.
+	// NoEligibleEngine is set if all engines that may serve the request rest or are leaving.
 	NoEligibleEngine bool
-	// Queued is how many requests waited in the pool.
+	// Queued is the number of requests that waited in the pool.
 	Queued int
 }
 
 func (Grant) decision()   {}
 func (Refusal) decision() {}
 
-// Outcome is how a granted request ended: one of Done, Unused, NotRun, Unreachable,
-// Broken and Ended.
+// Outcome is how a granted request ended: one of Done, Unused, NotRun, Unreachable, Broken and
+// Ended.
 type Outcome interface {
 	outcome()
 }
 
-// Done requests were answered, or their caller went away.
+// Done means that the request was answered, or its caller went away.
 type Done struct{}
 
-// Unused grants came too late, or to nobody: nothing was sent, and the engine is not
-// to blame.
+// Unused means that the grant came too late, or reached nobody: nothing was sent, and this says
+// nothing about the engine.
 type Unused struct{}
 
-// NotRun requests were refused by the engine, which ran nothing of them.
+// NotRun means that the engine refused the request and ran nothing of it.
 type NotRun struct{}
 
-// Unreachable engines took no connection.
+// Unreachable means that the engine accepted no connection.
 type Unreachable struct{}
 
-// Broken answers ended before their time.
+// Broken means that the answer broke off.
 type Broken struct{}
 
-// Ended engines took the request with them.
+// Ended means that the engine ended while it ran the request.
 type Ended struct {
-	// End is the account of it.
+	// End is the ledger entry for it.
 	End quarantine.End
 }
 
--- a/pkg/dispatch/backoff_test.go
+++ b/pkg/dispatch/rest_test.go
@@ -13,18 +13,20 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// Engines that had turned a box away and asked it for rest got more from it within 100 ms, and
-// one that had said in an answer that it leaves got requests as before: what they said in
-// answers was not read. Once it is, the box that grants does not know it, or is lost with it.
+// Engines that had rejected a request and asked the box for rest got more requests from it
+// within 100 ms, and an engine that had reported in a response that it was leaving got requests
+// as before, as boxes did not read these reports. A box that reads them must also pass them to
+// the dispatching box, and again to its successor.
 
-// TestWords holds over drawn fleets, whichever way and whoever dispatches: nothing reaches an
-// engine against its word; no engine is idle that takes work which waits; nothing waits that
-// none takes; and callers come back when the first engine does, or later.
+// TestWords checks over random fleets, for every way of reporting and with changes of the
+// dispatching box: no request reaches an engine that asked for rest or reported that it is
+// leaving; no engine is idle while a request waits that it accepts; no request waits that no
+// engine accepts; and callers are told to retry no earlier than the first engine's rest ends.
 func TestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
-		way := backoffReporting(rapid.IntRange(int(notReported), int(reportedOnce)).Draw(t, "way"))
-		s := newWordSimulation(engines, rapid.IntRange(1, 8).Draw(t, "boxes"), rapid.Uint64().Draw(t, "seed"), way)
+		way := restReporting(rapid.IntRange(int(notReported), int(reportedOnce)).Draw(t, "way"))
+		s := newRestSimulation(engines, rapid.IntRange(1, 8).Draw(t, "boxes"), rapid.Uint64().Draw(t, "seed"), way)
 		s.draw(s.rand, engines, rapid.Float64Range(0, 1).Draw(t, "full"), rapid.Float64Range(0, 0.5).Draw(t, "leaving"))
 		s.callers(float64(engines)*rapid.Float64Range(0.2, 20).Draw(t, "load"), 12*time.Second)
 		for range rapid.IntRange(0, 3).Draw(t, "losses") {
@@ -34,21 +36,21 @@
 			s.at(tick, func() {
 				s.decide()
 				if idle := s.idleWhileWaiting(); len(idle) > 0 {
-					t.Fatalf("%v are idle while what they take waits", idle)
+					t.Fatalf("%v are idle while a request waits that they accept", idle)
 				}
 				for _, req := range s.pool.waiting {
 					if !s.pool.hasEligibleEngine(req, s.now) {
-						t.Fatalf("a request waits that no engine takes")
+						t.Fatalf("a request waits that no engine accepts")
 					}
 				}
 			})
 		}
 		s.until(s.now.Add(time.Hour))
 		if len(s.violations) > 0 {
-			t.Fatalf("%d requests against an engine's word: %s", len(s.violations), s.violations[0])
+			t.Fatalf("%d requests reached an engine that had asked for none: %s", len(s.violations), s.violations[0])
 		}
 		if s.retriedEarly > 0 {
-			t.Fatalf("%d callers were told to come back before the first engine does", s.retriedEarly)
+			t.Fatalf("%d callers were told to retry before the first engine's rest ends", s.retriedEarly)
 		}
 		if len(s.waiting) > 0 {
 			t.Fatalf("%d requests were neither granted nor refused", len(s.waiting))
@@ -56,16 +58,16 @@
 	})
 }
 
-// TestRestWays compares the ways on the same drawn fleets, 60 of them with QUAYLEAD_FLEETS=60;
-// -v prints the figures.
+// TestRestWays compares the ways of reporting on the same random fleets; QUAYLEAD_FLEETS=60 runs
+// 60 of them, and -v prints the figures.
 func TestRestWays(t *testing.T) {
 	for _, load := range []float64{3, 14} {
-		for way, name := range []string{notReported: "checked by the box that sends", inEachRequest: "named by each ask", reportedOnce: "told once"} {
-			out := backoffSimulation{}
+		for way, name := range []string{notReported: "not reported", inEachRequest: "in each request", reportedOnce: "reported once"} {
+			out := restSimulation{}
 			for seed := range fleetsOr(6) {
 				draw := rand.New(rand.NewPCG(uint64(seed), 2))
 				engines := 3 + draw.IntN(10)
-				s := newWordSimulation(engines, 8, uint64(seed), backoffReporting(way))
+				s := newRestSimulation(engines, 8, uint64(seed), restReporting(way))
 				s.draw(draw, engines, 0.5, 0.1)
 				s.callers(float64(engines)*load, 12*time.Second)
 				for range 2 {
@@ -81,26 +83,26 @@
 				out.requestBytes += s.requestBytes
 				out.violations = append(out.violations, s.violations...)
 			}
-			t.Logf("%-30s %2.0f a second and engine: %d asked, %d served, %d turned away by engines, %d handed back, %d refused (%d with room elsewhere), %d bytes in asks, %d against a word",
+			t.Logf("%-30s %2.0f a second and engine: %d requests, %d served, %d rejected by engines, %d handed back, %d refused (%d despite room), %d bytes of exclusions, %d sent to an engine that asked for none",
 				name, load, out.requested, out.served, out.rejected, out.handedBack, out.refused, out.refusedDespiteRoom, out.requestBytes, len(out.violations))
 			if len(out.violations) > 0 {
-				t.Errorf("%s: %d requests against an engine's word", name, len(out.violations))
+				t.Errorf("%s: %d requests reached an engine that had asked for none", name, len(out.violations))
 			}
 		}
 	}
 }
 
-// TestWhomRestsBind compares a rest that binds the box that was turned away with one that binds
-// all, on the same drawn fleets, where engines turn all boxes away and where they turn away one
-// only; 60 of them with QUAYLEAD_FLEETS=60; -v prints the figures.
+// TestWhomRestsBind compares a rest that binds only the box that was rejected with one that
+// binds all boxes, on the same random fleets, with engines that reject all boxes and with
+// engines that reject one only. QUAYLEAD_FLEETS=60 runs 60 fleets, and -v prints the figures.
 func TestWhomRestsBind(t *testing.T) {
 	for _, oneBox := range []bool{false, true} {
 		for _, bindsAll := range []bool{false, true} {
-			out := backoffSimulation{}
+			out := restSimulation{}
 			for seed := range fleetsOr(6) {
 				draw := rand.New(rand.NewPCG(uint64(seed), 2))
 				engines := 3 + draw.IntN(10)
-				s := newWordSimulation(engines, 8, uint64(seed), reportedOnce)
+				s := newRestSimulation(engines, 8, uint64(seed), reportedOnce)
 				s.bindsAll = bindsAll
 				s.draw(draw, engines, 0.5, 0)
 				for i := range engines {
@@ -119,26 +121,26 @@
 				out.refused += s.refused
 				out.refusedDespiteRoom += s.refusedDespiteRoom
 			}
-			t.Logf("engines turn one box away: %t, a rest binds all: %t: %d asked, %d served, %d turned away by engines, %d refused (%d with room)",
+			t.Logf("engines reject one box only: %t, a rest binds all: %t: %d requests, %d served, %d rejected by engines, %d refused (%d despite room)",
 				oneBox, bindsAll, out.requested, out.served, out.rejected, out.refused, out.refusedDespiteRoom)
 			if oneBox && !bindsAll && out.refusedDespiteRoom > 0 {
-				t.Errorf("%d requests of boxes that no engine turned away were refused with room", out.refusedDespiteRoom)
+				t.Errorf("%d requests of boxes that no engine rejected were refused despite room", out.refusedDespiteRoom)
 			}
 		}
 	}
 }
 
-// TestReturnAfterRest compares, for callers whose box rests from all engines, to come back when
-// the first engine returns to that box, and to come back at once where another box may be
-// served; 60 drawn fleets with QUAYLEAD_FLEETS=60; -v prints the figures.
+// TestReturnAfterRest compares two retry times for callers of a box for which all engines rest:
+// when the first engine's rest ends, and at once if another box may be served.
+// QUAYLEAD_FLEETS=60 runs 60 random fleets, and -v prints the figures.
 func TestReturnAfterRest(t *testing.T) {
 	for _, retries := range []int{1, 3} {
 		for _, soonElsewhere := range []bool{false, true} {
-			out := backoffSimulation{}
+			out := restSimulation{}
 			for seed := range fleetsOr(6) {
 				draw := rand.New(rand.NewPCG(uint64(seed), 2))
 				engines := 2 + draw.IntN(4)
-				s := newWordSimulation(engines, 8, uint64(seed), reportedOnce)
+				s := newRestSimulation(engines, 8, uint64(seed), reportedOnce)
 				s.retries, s.retryElsewhere = retries, soonElsewhere
 				s.draw(draw, engines, 1, 0)
 				s.callers(float64(engines)*14, 12*time.Second)
@@ -150,7 +152,7 @@
 				out.cameBack += s.cameBack
 				out.waited += s.waited
 			}
-			t.Logf("%d retries, at once where another box may be served: %t: %d asked, %d served, %d given up, %d turned away by engines; who came back was sent to an engine after %s",
+			t.Logf("%d retries, at once if another box may be served: %t: %d requests, %d served, %d given up, %d rejected by engines; retried requests reached an engine after %s",
 				retries, soonElsewhere, out.requested, out.served, out.givenUp, out.rejected, out.waited/time.Duration(max(1, out.cameBack)))
 		}
 	}
@@ -158,67 +160,67 @@
 
 func TestAllowed(t *testing.T) {
 	until := start.Add(3 * time.Second)
-	of := func(router uint64, number int, now time.Time) *Request {
+	requestOf := func(router uint64, number int, now time.Time) *Request {
 		req := newRequest(fmt.Sprint(number), "a", now, Part{ID: uint64(number), Tokens: 1000})
 		req.Stream = router
 		return req
 	}
-	Convey("An engine's rest binds the router that it asked, and no other", t, func() {
+	Convey("An engine's rest binds only the router that was asked for it", t, func() {
 		p := newTestPool(2, 0)
 		So(p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start), ShouldBeTrue)
 		for i := range 4 {
-			So(submit(p, of(1, i, start), start)[0].(Grant).Endpoint, ShouldEqual, "e1")
+			So(submit(p, requestOf(1, i, start), start)[0].(Grant).Endpoint, ShouldEqual, "e1")
 		}
 		found := map[string]bool{}
 		for i := range 4 {
-			found[submit(p, of(2, 10+i, start), start)[0].(Grant).Endpoint] = true
+			found[submit(p, requestOf(2, 10+i, start), start)[0].(Grant).Endpoint] = true
 		}
 		So(found["e0"], ShouldBeTrue)
 	})
-	Convey("An engine that begins an older request rests on", t, func() {
+	Convey("A rest goes on after the first token of an older request", t, func() {
 		p := newTestPool(2, 0)
-		first := submit(p, of(1, 1, start), start)[0].(Grant)
+		first := submit(p, requestOf(1, 1, start), start)[0].(Grant)
 		p.SetBackoff(1, lifecycle.Rest{Endpoint: first.Endpoint, Until: until}, start)
 		p.Begin("1", start.Add(time.Second))
 		for i := range 4 {
-			So(submit(p, of(1, 10+i, start.Add(time.Second)), start.Add(time.Second))[0].(Grant).Endpoint, ShouldNotEqual, first.Endpoint)
+			So(submit(p, requestOf(1, 10+i, start.Add(time.Second)), start.Add(time.Second))[0].(Grant).Endpoint, ShouldNotEqual, first.Endpoint)
 		}
 	})
-	Convey("Where all rest, a request is refused at once, until the first of them returns", t, func() {
+	Convey("If all engines rest, a request is refused at once until the first rest ends", t, func() {
 		p := newTestPool(2, 0)
 		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start)
 		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e1", Until: until.Add(time.Second)}, start)
 		times := map[time.Duration]bool{}
 		for i := range 20 {
-			turn := submit(p, of(1, i, start), start)[0].(Refusal)
-			So(turn.NoEligibleEngine, ShouldBeTrue)
-			So(turn.RetryAfter, ShouldBeBetweenOrEqual, 3*time.Second, 3750*time.Millisecond)
-			times[turn.RetryAfter] = true
+			refusal := submit(p, requestOf(1, i, start), start)[0].(Refusal)
+			So(refusal.NoEligibleEngine, ShouldBeTrue)
+			So(refusal.RetryAfter, ShouldBeBetweenOrEqual, 3*time.Second, 3750*time.Millisecond)
+			times[refusal.RetryAfter] = true
 		}
 		So(len(times), ShouldBeGreaterThan, 10)
-		So(submit(p, of(2, 100, start), start)[0], ShouldHaveSameTypeAs, Grant{})
+		So(submit(p, requestOf(2, 100, start), start)[0], ShouldHaveSameTypeAs, Grant{})
 	})
-	Convey("One that returns while a request may wait is waited for", t, func() {
+	Convey("A request waits for an engine whose rest ends within its maximum wait", t, func() {
 		p := newTestPool(1, 0)
 		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: start.Add(100 * time.Millisecond)}, start)
-		So(submit(p, of(1, 1, start), start), ShouldBeEmpty)
+		So(submit(p, requestOf(1, 1, start), start), ShouldBeEmpty)
 		So(p.Decide(start.Add(100 * time.Millisecond))[0], ShouldHaveSameTypeAs, Grant{})
 	})
-	Convey("A later start ends a rest, and so does the end of its router's stream", t, func() {
+	Convey("A rest ends with a new instance of the engine, and with its router's stream", t, func() {
 		p := newTestPool(1, 0)
 		p.SetEndpoints([]route.Endpoint{{ID: "e0", Service: "llm", Slots: 64, Facts: lifecycle.Facts{Born: 5}}}, start)
 		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Born: 5, Until: until}, start)
-		So(p.hasEligibleEngine(of(1, 1, start), start), ShouldBeFalse)
+		So(p.hasEligibleEngine(requestOf(1, 1, start), start), ShouldBeFalse)
 		p.SetEndpoints([]route.Endpoint{{ID: "e0", Service: "llm", Slots: 64, Facts: lifecycle.Facts{Born: 6}}}, start)
-		So(p.hasEligibleEngine(of(1, 1, start), start), ShouldBeTrue)
+		So(p.hasEligibleEngine(requestOf(1, 1, start), start), ShouldBeTrue)
 		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Born: 6, Until: until}, start)
 		p.DropStream(1, start)
-		So(p.hasEligibleEngine(of(1, 1, start), start), ShouldBeTrue)
-		So(p.backoffs, ShouldBeEmpty)
+		So(p.hasEligibleEngine(requestOf(1, 1, start), start), ShouldBeTrue)
+		So(p.rests, ShouldBeEmpty)
 	})
-	Convey("Rests of engines that the pool does not have are not kept", t, func() {
+	Convey("Rests of engines that the pool does not have are ignored", t, func() {
 		p := newTestPool(1, 0)
 		So(p.SetBackoff(1, lifecycle.Rest{Endpoint: "e9", Until: until}, start), ShouldBeFalse)
-		So(p.backoffs, ShouldBeEmpty)
+		So(p.rests, ShouldBeEmpty)
 	})
 }
--- a/pkg/dispatch/share.go
+++ b/pkg/dispatch/share.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// updateShare brings the even share of the window up to date.
+// updateShare recomputes the share of each customer in the window.
 func (p *Pool) updateShare(now time.Time) {
-	const step = 50 * time.Millisecond
-	if now.Sub(p.shareAt) < step {
+	const updateInterval = 50 * time.Millisecond
+	if now.Sub(p.shareAt) < updateInterval {
 		return
 	}
 	p.shareAt = now
-	asked := make([]float64, 0, len(p.accounts))
+	requested := make([]float64, 0, len(p.accounts))
 	most := 0.0
 	for name, a := range p.accounts {
 		a.advance(now, p.Rules.Window)
@@ -18,19 +18,19 @@
 			delete(p.accounts, name)
 			continue
 		}
-		asked = append(asked, a.totalRequested())
+		requested = append(requested, a.totalRequested())
 		most = max(most, a.totalGranted())
 	}
 	seconds := p.Rules.Window.Seconds() * float64(max(1, p.Groups)) / float64(max(1, p.Routers))
-	p.share = maxMinShare(asked, p.tokensPerSecond*seconds)
-	// What one customer got, others may have nearly as well, however little the engines
-	// are believed to do: see BehindPart.
-	p.measuredShare = max(maxMinShare(asked, p.capacity(now)*seconds), p.Rules.CatchUpFraction*most)
+	p.share = maxMinShare(requested, p.tokensPerSecond*seconds)
+	// Other customers may have nearly as much as the most served one got, even if the engines
+	// are estimated to do less: see Rules.CatchUpFraction.
+	p.measuredShare = max(maxMinShare(requested, p.capacity(now)*seconds), p.Rules.CatchUpFraction*most)
 }
 
-// capacity is what the engines can do in a second, in tokens as Prompt.Cost counts
-// them, when they read for Rules.ReadPart of their time: parts that they keep cost
-// them nothing. It is not less than what is stated.
+// capacity returns what the engines can do in a second, in tokens as counted by Prompt.Cost, if
+// they read for Rules.ReadFraction of their time; cached parts cost them nothing. It is at least
+// the stated rate.
 func (p *Pool) capacity(now time.Time) float64 {
 	p.granted.advance(now, p.Rules.Window)
 	p.read.advance(now, p.Rules.Window)
@@ -40,20 +40,20 @@
 			rate += e.rate
 		}
 	}
-	// Of the first few grants the ratio says little.
-	const fewTokens = 1000
-	if p.read.sum < fewTokens {
+	// The ratio of the first few grants says little.
+	const minTokens = 1000
+	if p.read.sum < minTokens {
 		return p.tokensPerSecond
 	}
 	return max(p.tokensPerSecond, rate*p.Rules.ReadFraction*p.granted.sum/p.read.sum)
 }
 
-// over tells whether a request is beyond its customer's share.
+// isOverShare reports whether a request exceeds its customer's share.
 func (p *Pool) isOverShare(a *account, req *Request) bool {
 	return p.tokensPerSecond > 0 && a.totalGranted()+req.cost/2 > p.share
 }
 
-// backlog is the longest predicted wait at an engine that gets new work.
+// maxBacklog returns the longest predicted wait at an engine that gets new work.
 func (p *Pool) maxBacklog() time.Duration {
 	return fraction(p.shortestTarget(), p.Rules.BacklogFraction)
 }
@@ -62,40 +62,40 @@
 	return time.Duration(factor * float64(whole))
 }
 
-// shortestAim is that of the requests of the last one or two windows.
+// shortestTarget returns the shortest latency target of the last one or two windows.
 func (p *Pool) shortestTarget() time.Duration { return min(p.targets.current, p.targets.previous) }
 
-// aims are the shortest aims asked for in the window that began last, and in the one
-// before; noAim where there was none.
+// latencyTargets are the shortest latency targets requested in the current window and the one
+// before; noTarget if there was none.
 type latencyTargets struct {
 	current, previous time.Duration
 	since             time.Time
 }
 
-// noAim is longer than any.
+// noTarget is longer than any latency target.
 const noTarget = time.Hour
 
-func (a *latencyTargets) record(aim time.Duration, now time.Time, window time.Duration) {
-	switch passed := now.Sub(a.since); {
-	case passed >= 2*window:
-		*a = latencyTargets{current: noTarget, previous: noTarget, since: now}
-	case passed >= window:
-		*a = latencyTargets{current: noTarget, previous: a.current, since: now}
+func (t *latencyTargets) record(target time.Duration, now time.Time, window time.Duration) {
+	switch elapsed := now.Sub(t.since); {
+	case elapsed >= 2*window:
+		*t = latencyTargets{current: noTarget, previous: noTarget, since: now}
+	case elapsed >= window:
+		*t = latencyTargets{current: noTarget, previous: t.current, since: now}
 	}
-	a.current = min(a.current, aim)
+	t.current = min(t.current, target)
 }
 
-// standing is how far a customer's request is within or beyond its share.
+// shareLevel is how far a customer's request is within or over its share.
 type shareLevel int
 
 const (
-	// within its share, a customer's requests wait for nobody beyond it.
+	// withinShare requests do not wait for any request over its customer's share.
 	withinShare shareLevel = iota
-	// beyond it, they go where they delay little. So do those of every customer that got
-	// clearly less than the most served one: of two that get idle engines only, the one
-	// with the longer line finds them more often, whichever is first in turn.
+	// overShare requests go where they delay others little. Customers that were granted clearly
+	// less than the most served one have this level too: of two customers that get idle engines
+	// only, the one with the longer queue finds them more often, whichever is first in turn.
 	overShare
-	// farBeyond it, they get idle engines only.
+	// farOverShare requests get idle engines only.
 	farOverShare
 )
 
@@ -110,14 +110,14 @@
 	}
 }
 
-// hasRoom tells whether an engine that is seen so may get a request.
-func (p *Pool) hasRoom(seen engineSnapshot, level shareLevel) bool {
+// hasRoom reports whether an engine in this state may get a request.
+func (p *Pool) hasRoom(snapshot engineSnapshot, level shareLevel) bool {
 	switch level {
 	case withinShare:
-		return seen.wait <= p.maxBacklog()
+		return snapshot.wait <= p.maxBacklog()
 	case overShare:
-		return seen.wait <= fraction(p.shortestTarget(), p.Rules.OverShareBacklogFraction)
+		return snapshot.wait <= fraction(p.shortestTarget(), p.Rules.OverShareBacklogFraction)
 	default:
-		return seen.idle
+		return snapshot.idle
 	}
 }
--- a/pkg/dispatch/tally.go
+++ b/pkg/dispatch/tally.go
@@ -5,35 +5,36 @@
 	"slices"
 )
 
-// Tally is what became of one customer's requests here over some time, in tokens as
-// Prompt.Cost counts them. It is what tells, of two customers of which one got less,
-// whether it asked less, was refused before the line or in it, or was granted what never
-// began.
+// Tally is the outcome of one customer's requests here over some time, in tokens as counted by
+// Prompt.Cost. If a customer got less than another, it shows whether it requested less, was
+// refused on arrival or after waiting, or was granted requests that never began.
 type Tally struct {
-	// Asked was put in line, asked for by a router for the first time.
+	// Requested was submitted by a router for the first time.
 	Requested float64
-	// Hopeless was refused on arrival, as too much of its kind waited before it.
+	// RefusedOnArrival was refused at once, as the queue before it was too long or no engine
+	// could take it.
 	RefusedOnArrival float64
-	// Turned was refused after it had waited, and Withdrawn left the line by itself.
+	// RefusedAfterWait was refused after it had waited, and Withdrawn was withdrawn by its
+	// router.
 	RefusedAfterWait, Withdrawn float64
-	// Granted was given an engine.
+	// Granted was assigned to an engine.
 	Granted float64
 	// Begun had its first event, and Answered ended after that without a failure.
 	Begun, Answered float64
-	// GivenBack was granted and not used, or broke before it began.
+	// Refunded was granted and not used, or broke before it began.
 	Refunded float64
 }
 
-// Refused is what was asked for and not granted.
+// Refused returns what was requested and refused.
 func (t *Tally) Refused() float64 { return t.RefusedOnArrival + t.RefusedAfterWait }
 
-// CustomerTally is a customer's.
+// CustomerTally is the tally of a customer.
 type CustomerTally struct {
 	Customer string
 	Tally
 }
 
-// tally is the customer's current one.
+// tallyFor returns the current tally of a customer.
 func (p *Pool) tallyFor(customer string) *Tally {
 	t := p.tallies[customer]
 	if t == nil {
@@ -43,8 +44,8 @@
 	return t
 }
 
-// TakeTallies returns the tallies since it was last called, the customer first that
-// asked for most, and starts anew.
+// TakeTallies returns the tallies since it was last called, the customer that requested most
+// first, and resets them.
 func (p *Pool) TakeTallies() []CustomerTally {
 	tallies := make([]CustomerTally, 0, len(p.tallies))
 	for customer, t := range p.tallies {
