--- a/pkg/dispatch/backlog_limiter_test.go
+++ b/pkg/dispatch/backlog_limiter_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestFloodsJudge(t *testing.T) {
-	Convey("A judgement is that of the next entry, and notes nothing", t, func() {
+	Convey("Check returns what the next Enter does, and records nothing", t, func() {
 		f := BacklogLimiter{}
 		for range maxWaitingBusy {
 			So(f.Check("ward", true, start), ShouldEqual, Admitted)
@@ -25,7 +25,7 @@
 
 func TestFloods(t *testing.T) {
 	start := time.Unix(1000, 0)
-	Convey("A customer within its share has as many requests waiting as it likes", t, func() {
+	Convey("The requests of a customer within its share are not bounded", t, func() {
 		f := BacklogLimiter{}
 		for range 10 * MaxWaitingOverShare {
 			So(f.Enter("ward", false, start), ShouldEqual, Admitted)
@@ -34,7 +34,7 @@
 			f.Leave("ward", false, start)
 		}
 	})
-	Convey("Beyond its share no more than a number wait, and others are not concerned", t, func() {
+	Convey("Over its share the requests of a customer are bounded, and those of others are not", t, func() {
 		f := BacklogLimiter{}
 		So(f.Enter("camp", false, start), ShouldEqual, Admitted)
 		f.Leave("camp", true, start)
@@ -45,11 +45,11 @@
 		So(f.Enter("ward", false, start), ShouldEqual, Admitted)
 		f.Leave("camp", false, start)
 		So(f.Enter("camp", false, start), ShouldEqual, Admitted)
-		Convey("until some time after the last refusal that said so", func() {
+		Convey("until some time after the last refusal for being over its share", func() {
 			So(f.Enter("camp", false, start.Add(overShareTTL)), ShouldEqual, Admitted)
 		})
 	})
-	Convey("At an overloaded box few requests wait, of any customer", t, func() {
+	Convey("At an overloaded box the requests of every customer are bounded", t, func() {
 		f := BacklogLimiter{}
 		for range maxWaitingBusy {
 			So(f.Enter("ward", true, start), ShouldEqual, Admitted)
@@ -61,7 +61,7 @@
 		So(f.Enter("ward", true, start), ShouldEqual, RefusedOverShare)
 		So(f.Enter("ward", false, start), ShouldEqual, Admitted)
 	})
-	Convey("Customers without requests are forgotten", t, func() {
+	Convey("Customers without requests are evicted", t, func() {
 		f := BacklogLimiter{}
 		for i := range 3 * maxTrackedCustomers {
 			name := fmt.Sprint(i)
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/quaylead/quaylead/pkg/quarantine"
 )
 
-// BenchmarkDecide is one look at a long line before engines without room, and with room at one
-// of them, also where other boxes may decide.
+// BenchmarkDecide measures one decision with many requests waiting: without room at any engine,
+// with room at one of them, and with room while other boxes may dispatch too.
 func BenchmarkDecide(b *testing.B) {
 	for name, set := range map[string]struct{ room, contested bool }{
 		"no room":         {},
@@ -26,7 +26,7 @@
 	now := start
 	for i, e := range p.sorted {
 		if i == 0 && room {
-			// It is idle, and its slots are taken.
+			// It is idle, but its slots are taken.
 			e.running = e.Slots
 			continue
 		}
@@ -41,10 +41,10 @@
 		req.Deadline = now.Add(time.Hour)
 		req.Fingerprint = fingerprintOf(req.Customer, req.ID)
 		p.Submit(req, now)
-		// Refused on arrival, it would leave the line with the first look.
+		// A request refused on arrival would leave the queue with the first decision.
 		req.refuseNow = false
 	}
-	// Some engines have ended, under other requests.
+	// Some engines have ended while they ran other requests.
 	for i := range 300 {
 		p.Ledger.RecordEnd(fingerprintOf("other", fmt.Sprint(i)), quarantine.InstanceOf("llm", fmt.Sprint(i%10), 0), now)
 	}
--- a/pkg/dispatch/deadly_test.go
+++ b/pkg/dispatch/deadly_test.go
@@ -14,52 +14,51 @@
 	"github.com/quaylead/quaylead/pkg/quarantine"
 )
 
-// One request ended eleven engines in a row: it came again at any box, with another ID each
-// time, and each of its runs took some thirty streams of others with it. Nothing that was
-// known of one run outlived it.
+// One request ended eleven engines in a row: it was repeated at any box, with another ID each
+// time, and each of its runs broke some thirty streams of others. Nothing learned from one run
+// outlived it.
 
-// deadlySimulation is a pool whose engines end under some requests, some time after they
-// began, with all that runs there, and are back under another ID.
+// deadlySimulation is a pool in which certain requests end their engine some time after they
+// began, with all requests that run there. The engine restarts under another ID.
 type deadlySimulation struct {
 	*simulation
-	// ledgers are those of the boxes that routers run at; each sees its own requests.
+	// ledgers are those of the boxes, which run a router each; a box sees its own requests only.
 	ledgers []*quarantine.Ledger
-	// shared has all boxes know what each of them saw; else only the one that dispatches
-	// does, by what its routers tell it.
+	// shared makes all boxes share the ends that they saw. Otherwise only the dispatching box
+	// knows them, from its routers' reports.
 	shared bool
-	// bounded has the pool know fingerprints; else only the boxes judge what comes.
+	// bounded passes fingerprints to the pool. Otherwise only the boxes check incoming requests.
 	bounded bool
-	// dead are the boxes that were lost.
+	// dead are the failed boxes.
 	dead map[int]bool
 	// running are the requests at each engine, in order of their grants.
 	running map[string][]*deadlyRequest
 	waiting map[string]*deadlyRequest
-	// down are the engines that ended and are listed still; starts numbers those that
-	// started again.
+	// down are the engines that ended and are still listed; starts counts restarts.
 	down   map[string]bool
 	starts int
-	// ends and sends count, by fingerprint, the engines that ended and the grants of
-	// requests that end engines; lost are the other requests that went with one.
+	// ends and sends count, by fingerprint, the engines that ended and the grants of deadly
+	// requests; lost counts the other requests that broke with an engine.
 	ends, sends map[quarantine.Fingerprint]int
 	lost        int
-	// refusedInnocent counts those that were refused by quarantine.
+	// refusedInnocent counts the innocent requests refused by quarantine.
 	refusedInnocent int
 }
 
-// deadlyAsk is a request with the box that it came to.
+// deadlyRequest is a request and the box that received it.
 type deadlyRequest struct {
 	*Request
 	box int
-	// kills has its engine end.
+	// kills makes the request end its engine.
 	kills bool
-	// repeats is how often it comes again when it broke.
+	// repeats is how often it may still be repeated after a break.
 	repeats int
 	ended   bool
 }
 
 const (
-	// deadlyAfter is from a deadly request's beginning to the end of its engine, and
-	// backAfter from there to the engine's return.
+	// crashDelay is the time from the beginning of a deadly request to the end of its engine,
+	// and restartDelay from there to the engine's restart.
 	crashDelay   = 20 * time.Millisecond
 	restartDelay = 3 * time.Second
 )
@@ -88,7 +87,8 @@
 	return quarantine.FingerprintOf([]byte("POST"), []byte("/"), []byte(customer), []byte(body))
 }
 
-// innocents come all the time, at a rate a second; a part of them may be repeated. It returns their number.
+// sendInnocents sends innocent requests at a rate per second, a fraction of them repeatable, and
+// returns their number.
 func (s *deadlySimulation) sendInnocents(perSecond float64, length time.Duration, repeatable float64) (number int) {
 	from := &source{customer: "others", route: "chat", perSecond: perSecond, latencyTarget: 600 * time.Millisecond, shared: 350, own: 1110, sharedParts: 160, output: 170}
 	end := s.now.Add(length)
@@ -107,7 +107,7 @@
 	return number
 }
 
-// deadly has one request come at some times, to any box.
+// sendDeadly sends one deadly request repeatedly at the given times, to any box.
 func (s *deadlySimulation) sendDeadly(body string, times ...time.Duration) {
 	from := &source{customer: "one", route: "chat", latencyTarget: 600 * time.Millisecond, shared: 350, own: 900, sharedParts: 3, output: 50}
 	for i, after := range times {
@@ -186,13 +186,13 @@
 	})
 }
 
-// clear tells the boxes that a request ended well.
+// clearSuspicion records at the boxes that a request ended well.
 func (s *deadlySimulation) clearSuspicion(req *deadlyRequest) {
 	s.ledgers[req.box].Clear(req.Fingerprint, "llm", s.now)
 	s.exchangeEnds()
 }
 
-// crash ends an engine under a request, unless that ended with another one before.
+// crash ends an engine because of a request, unless the request already ended with another one.
 func (s *deadlySimulation) crash(engine string, by *deadlyRequest) {
 	if by.ended {
 		return
@@ -200,9 +200,9 @@
 	s.ends[by.Fingerprint]++
 	life := quarantine.InstanceOf("llm", engine, 0)
 	s.down[engine] = true
-	went := s.running[engine]
+	broken := s.running[engine]
 	delete(s.running, engine)
-	for _, req := range went {
+	for _, req := range broken {
 		req.ended = true
 		if !req.kills {
 			s.lost++
@@ -217,7 +217,7 @@
 	s.at(s.now.Add(restartDelay), func() { s.replace(engine, back) })
 }
 
-// again has an innocent request that broke come back, where it may.
+// retry repeats an innocent request that broke, if it may be repeated.
 func (s *deadlySimulation) retry(req *deadlyRequest) {
 	if req.repeats == 0 {
 		return
@@ -228,7 +228,7 @@
 	s.at(again.Arrived, func() { s.receive(next) })
 }
 
-// replace has an engine back under another ID.
+// replace restarts an engine under another ID.
 func (s *deadlySimulation) replace(engine, back string) {
 	endpoints := s.pool.Endpoints()
 	for i := range endpoints {
@@ -239,7 +239,7 @@
 	s.pool.SetEndpoints(endpoints, s.now)
 }
 
-// tell has the boxes that live tell each other what they know, where they do.
+// exchangeEnds shares the recorded ends among the live boxes, if they do so.
 func (s *deadlySimulation) exchangeEnds() {
 	if !s.shared {
 		return
@@ -257,8 +257,8 @@
 	}
 }
 
-// lose has the box that dispatches die, and some others with it; the first that is left
-// takes over, and is told what runs and, where boxes do not share, what each router saw.
+// failBoxes kills the dispatching box and some others. The first box left takes over; it
+// receives what runs, and what each router saw where boxes do not share it.
 func (s *deadlySimulation) failBoxes(count int) {
 	for box := range s.ledgers {
 		if !s.dead[box] && count > 0 && len(s.dead) < len(s.ledgers)-1 {
@@ -280,8 +280,8 @@
 			s.pool.Ledger.Merge(ends, "", s.now)
 		}
 	}
-	for engine, asks := range s.running {
-		for _, req := range asks {
+	for engine, requests := range s.running {
+		for _, req := range requests {
 			s.pool.Adopt(req.Request, engine, false, s.now)
 		}
 	}
@@ -297,7 +297,7 @@
 	return most
 }
 
-// times draws when a request comes: by itself, or several at once.
+// times draws the arrival times of a request: some separately, some several at once.
 func times(rand *rand.Rand, count int, gap time.Duration) (all []time.Duration) {
 	at := time.Second
 	for range count {
@@ -309,8 +309,8 @@
 	return all
 }
 
-// TestMostEnds holds, over drawn fleets, that no request ends more than three engines,
-// however its repeats come and whichever box dispatches.
+// TestMostEnds checks over random fleets that no request ends more than three engines, however
+// it is repeated and whichever box dispatches.
 func TestMostEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
@@ -332,37 +332,38 @@
 	})
 }
 
-// deadlyWay is a way to keep requests from ending engines, beside the one that stands.
+// protection is a way to keep requests from ending engines; the last of TestDeadlyWays is the
+// one in use.
 type protection struct {
 	name string
-	// shared has all boxes know what each saw, bounded has the pool bound the engines that
-	// may end.
+	// shared makes all boxes share the ends that they saw; bounded makes the pool bound the
+	// engines that may end.
 	shared, bounded bool
 }
 
-// deadlyOutcome sums up drawn fleets.
+// deadlyOutcome sums up random fleets.
 type deadlyOutcome struct {
 	requests, ends, most, lost, refused, innocents int
 }
 
-// playDeadly draws a fleet by a seed: repeats that come by themselves or together, and two
-// losses of boxes, the one that dispatches among them.
-func playDeadly(way protection, seed uint64, out *deadlyOutcome) {
+// playDeadly runs a fleet drawn from a seed: repeats arrive separately or together, and boxes
+// fail twice, the dispatching box among them.
+func playDeadly(protection protection, seed uint64, out *deadlyOutcome) {
 	draw := rand.New(rand.NewPCG(seed, 2))
 	engines := 3 + draw.IntN(10)
 	s := newDeadlySimulation(engines, 8, seed)
-	s.shared = way.shared
+	s.shared = protection.shared
 	out.innocents += s.sendInnocents(float64(engines)*10, 20*time.Second, 0.2)
-	kinds := 1 + draw.IntN(2)
-	for i := range kinds {
+	deadly := 1 + draw.IntN(2)
+	for i := range deadly {
 		s.sendDeadly(fmt.Sprint("body", i), times(draw, 25, time.Duration(100+draw.IntN(1500))*time.Millisecond)...)
 	}
-	s.bounded = way.bounded
+	s.bounded = protection.bounded
 	for range 2 {
 		s.at(s.now.Add(time.Duration(1+draw.IntN(15000))*time.Millisecond), func() { s.failBoxes(3) })
 	}
 	s.until(s.now.Add(time.Hour))
-	out.requests += kinds
+	out.requests += deadly
 	out.most = max(out.most, s.maxEnds())
 	for _, count := range s.ends {
 		out.ends += count
@@ -371,7 +372,8 @@
 	out.refused += s.refusedInnocent
 }
 
-// fleetsOr is how many drawn fleets are played: so many, or those that QUAYLEAD_FLEETS says.
+// fleetsOr returns the number of random fleets to run: QUAYLEAD_FLEETS, or few if that is not
+// set.
 func fleetsOr(few int) int {
 	if more, err := strconv.Atoi(os.Getenv("QUAYLEAD_FLEETS")); err == nil {
 		return more
@@ -379,11 +381,11 @@
 	return few
 }
 
-// TestDeadlyWays compares the ways on the same drawn fleets, 60 of them with
-// QUAYLEAD_FLEETS=60; -v prints the figures.
+// TestDeadlyWays compares the protections on the same random fleets; QUAYLEAD_FLEETS=60 runs 60
+// of them, and -v prints the figures.
 func TestDeadlyWays(t *testing.T) {
 	fleets := fleetsOr(6)
-	for _, way := range []protection{
+	for _, p := range []protection{
 		{"counted by the box that dispatches, not bounded", false, false},
 		{"counted by the box that dispatches, bounded", false, true},
 		{"counted by all boxes, not bounded", true, false},
@@ -391,18 +393,18 @@
 	} {
 		out := deadlyOutcome{}
 		for seed := range fleets {
-			playDeadly(way, uint64(seed), &out)
+			playDeadly(p, uint64(seed), &out)
 		}
 		t.Logf("%-48s %d requests: ends mean %.2f, most %d; others lost with an engine %.1f a request; bystanders refused %d of %d",
-			way.name, out.requests, float64(out.ends)/float64(out.requests), out.most, float64(out.lost)/float64(out.requests), out.refused, out.innocents)
-		if way.shared && way.bounded && out.most > quarantine.MaxEnds {
+			p.name, out.requests, float64(out.ends)/float64(out.requests), out.most, float64(out.lost)/float64(out.requests), out.refused, out.innocents)
+		if p.shared && p.bounded && out.most > quarantine.MaxEnds {
 			t.Errorf("a request ended %d engines", out.most)
 		}
 	}
 }
 
-// TestMassCrashes has half of the engines end at once, again and again, under nobody's
-// request. Who lost three of them meanwhile is refused, which is one in thousands; -v prints
+// TestMassCrashes ends half of the engines at once, several times, independently of any request.
+// A request that lost three engines meanwhile is refused, which is one in thousands; -v prints
 // how many.
 func TestMassCrashes(t *testing.T) {
 	refused, innocents, lost := 0, 0, 0
--- a/pkg/dispatch/engine_test.go
+++ b/pkg/dispatch/engine_test.go
@@ -10,8 +10,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// start is when the events of these tests begin; the pool takes the time as an
-// argument.
+// start is the time at which these tests begin; the pool gets the time as an argument.
 var start = time.Unix(1000, 0)
 
 func newRequest(id, customer string, now time.Time, parts ...Part) *Request {
@@ -38,7 +37,7 @@
 }
 
 func TestEngine(t *testing.T) {
-	Convey("One broken answer, between others that begin, rests no engine", t, func() {
+	Convey("Single broken answers between others that begin do not eject an engine", t, func() {
 		e := newTestEngine()
 		for i := range 10 {
 			now := start.Add(time.Duration(i) * time.Second)
@@ -47,7 +46,7 @@
 			e.begin(grantAt(e, "well", now, Part{ID: 1, Tokens: 100}), now.Add(100*time.Millisecond))
 		}
 	})
-	Convey("Several broken answers in a row rest it, as a crash does", t, func() {
+	Convey("Consecutive broken answers eject it like a crash", t, func() {
 		e := newTestEngine()
 		for range maxConsecutiveBroken {
 			e.finish(grantAt(e, "lost", start, Part{ID: 1, Tokens: 100}), Broken{}, start)
@@ -55,7 +54,7 @@
 		So(e.isUsable(start.Add(time.Millisecond)), ShouldBeFalse)
 		So(e.isUsable(start.Add(minEjection+time.Millisecond)), ShouldBeTrue)
 	})
-	Convey("An engine without connections rests at once, and longer each time", t, func() {
+	Convey("An unreachable engine is ejected at once, and longer each time", t, func() {
 		e := newTestEngine()
 		e.finish(grantAt(e, "1", start), Unreachable{}, start)
 		So(e.isUsable(start.Add(minEjection-time.Millisecond)), ShouldBeFalse)
@@ -64,7 +63,7 @@
 		So(e.isUsable(again.Add(2*minEjection-time.Millisecond)), ShouldBeFalse)
 		So(e.isUsable(again.Add(2*minEjection+time.Millisecond)), ShouldBeTrue)
 	})
-	Convey("A part behind one that is not kept has to be read again", t, func() {
+	Convey("A part behind one that is not cached has to be read again", t, func() {
 		e := newTestEngine()
 		first, second, own := Part{ID: 1, Tokens: 1000}, Part{ID: 2, Tokens: 2000}, Part{ID: 3, Tokens: 10}
 		e.addCached(second)
@@ -76,7 +75,7 @@
 		So(tokens, ShouldEqual, 10)
 		So(shared, ShouldEqual, 0)
 	})
-	Convey("The parts unused for longest give way first", t, func() {
+	Convey("The least recently used parts are evicted first", t, func() {
 		e := newTestEngine()
 		e.addCached(Part{ID: 1, Tokens: 40000})
 		e.addCached(Part{ID: 2, Tokens: 40000})
@@ -86,17 +85,18 @@
 		So(e.cacheIndex[1], ShouldNotBeNil)
 		So(e.cachedTokens, ShouldEqual, 80000)
 	})
-	Convey("The predicted wait falls while the engine reads, but not below what waits behind", t, func() {
+	Convey("The predicted wait falls while the engine reads a prompt, but not below the time for the prompts behind it", t, func() {
 		e := newTestEngine()
 		grantAt(e, "1", start, Part{ID: 1, Tokens: initialRate / 10})
 		grantAt(e, "2", start, Part{ID: 2, Tokens: initialRate / 10})
 		So(e.predictedWait(start), ShouldEqual, 200*time.Millisecond)
 		So(e.predictedWait(start.Add(50*time.Millisecond)), ShouldEqual, 150*time.Millisecond)
-		// The first token comes a lag after the reading; the second prompt is read then.
+		// The first token comes one lag after the prompt was read; by then the second prompt is
+		// being read.
 		So(e.predictedWait(start.Add(initialLag+50*time.Millisecond)), ShouldEqual, 90*time.Millisecond)
 		So(e.predictedWait(start.Add(time.Second)), ShouldEqual, 100*time.Millisecond)
 	})
-	Convey("An engine that begins nothing for long is not used until it does", t, func() {
+	Convey("A stalled engine is not used until a request begins there", t, func() {
 		e := newTestEngine()
 		g := grantAt(e, "1", start, Part{ID: 1, Tokens: 4500})
 		later := start.Add(3 * time.Second)
@@ -104,7 +104,7 @@
 		e.begin(g, later)
 		So(e.isUsable(later.Add(time.Millisecond)), ShouldBeTrue)
 	})
-	Convey("The rate follows what is seen", t, func() {
+	Convey("The rate estimate follows the measured rate", t, func() {
 		e := newTestEngine()
 		now := start
 		for range 40 {
@@ -116,12 +116,12 @@
 	})
 }
 
-// TestPace holds that a pool learns within some 40 requests to an engine how fast it
-// is, to a factor of 0.55 to 1.5, whatever it believed at first.
+// TestPace checks that a pool learns an engine's speed within about 40 requests to it, to a
+// factor of 0.55 to 1.5, whatever it assumed at first.
 func TestPace(t *testing.T) {
 	for _, rate := range []float64{15000, 45000, 110000, 330000} {
 		for _, lag := range []time.Duration{15 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
-			Convey(fmt.Sprintf("Of %.0f tokens a second after %s, also where the first requests are few", rate, lag), t, func() {
+			Convey(fmt.Sprintf("%.0f tokens a second and a lag of %s are learned from few requests", rate, lag), t, func() {
 				s := newSimulation(3, 0, rate)
 				s.firstTokenDelay = lag
 				s.play(8*time.Second, source{customer: "a", route: "long", perSecond: rate / 6600, latencyTarget: time.Minute, own: 6600, output: 10},
@@ -132,7 +132,7 @@
 			})
 		}
 	}
-	Convey("Engines that were not measured are believed to be like those that were", t, func() {
+	Convey("Engines that were not measured are assumed to be like those that were", t, func() {
 		p := newTestPool(2, 0)
 		p.engines["e0"].recordRead(20000, 200*time.Millisecond)
 		eject(p, "e1")
@@ -140,7 +140,7 @@
 		So(p.engines["e1"].rate, ShouldEqual, p.engines["e0"].rate)
 		So(p.engines["e1"].rate, ShouldEqual, (initialRate+100000)/2)
 	})
-	Convey("What another box granted tells nothing of the pace: more may have been read between", t, func() {
+	Convey("Another box's grants are no samples, as the engine may have read more in between", t, func() {
 		p := newTestPool(1, 0)
 		p.Adopt(newRequest("1", "a", start, Part{ID: 1, Tokens: 10000}), "e0", false, start)
 		p.Begin("1", start.Add(5*time.Second))
--- a/pkg/dispatch/exposure_test.go
+++ b/pkg/dispatch/exposure_test.go
@@ -26,7 +26,7 @@
 		}
 		return found
 	}
-	Convey("Repeats that come together go to one engine of the box's choice and to their first, and others to any", t, func() {
+	Convey("Concurrent repeats go to one engine of the box's choice and to their preferred one, and other requests to any", t, func() {
 		p := newTestPool(9, 0)
 		for i := range 9 {
 			p.Submit(req(i), start)
@@ -36,7 +36,7 @@
 		other.Fingerprint = fingerprintOf("a", "other")
 		So(submit(p, other, start), ShouldHaveLength, 1)
 	})
-	Convey("Boxes that know nothing of each other send repeats to the same engine", t, func() {
+	Convey("Boxes that do not know of each other send repeats to the same engine", t, func() {
 		found := map[string]bool{}
 		for box := range 9 {
 			p := newTestPool(9, 0)
@@ -51,7 +51,7 @@
 		}
 		So(found, ShouldHaveLength, 1)
 	})
-	Convey("So they do with repeats that tell other parts of their prompt, long ones too", t, func() {
+	Convey("They also do if the repeats report other parts of their prompt, long ones included", t, func() {
 		found := map[string]bool{}
 		for box := range 9 {
 			p := newTestPool(9, 0)
@@ -64,7 +64,7 @@
 		}
 		So(found, ShouldHaveLength, 1)
 	})
-	Convey("What failed a moment ago may have ended under a repeat of another box: nothing else is tried until that is told", t, func() {
+	Convey("An engine that just failed may have ended under another box's repeat: no other engine is tried until the report can have arrived", t, func() {
 		p := newTestPool(9, 0)
 		p.Contested = true
 		first := submit(p, req(1), start)[0].(Grant).Endpoint
@@ -74,7 +74,7 @@
 		So(next, ShouldHaveLength, 1)
 		So(next[0].(Grant).Endpoint, ShouldNotEqual, first)
 	})
-	Convey("Where two engines ended, repeats share one; after the third they are refused at once", t, func() {
+	Convey("After two ends all repeats go to one engine; after the third they are refused at once", t, func() {
 		p := newTestPool(9, 0)
 		for i := range 2 {
 			grant := submit(p, req(i), start)[0].(Grant)
@@ -91,10 +91,10 @@
 		}
 		decided := submit(p, req(20), start)
 		So(decided, ShouldHaveLength, 1)
-		_, turned := decided[0].(Refusal)
-		So(turned, ShouldBeTrue)
+		_, refused := decided[0].(Refusal)
+		So(refused, ShouldBeTrue)
 	})
-	Convey("A request in line is refused as soon as the third engine has ended", t, func() {
+	Convey("A waiting request is refused as soon as the third engine has ended", t, func() {
 		p := newTestPool(1, 0)
 		eject(p, "e0")
 		So(submit(p, req(1), start), ShouldBeEmpty)
@@ -103,7 +103,7 @@
 		}
 		So(p.Decide(start.Add(time.Millisecond)), ShouldHaveLength, 1)
 	})
-	Convey("An engine that ended is no longer counted as one that runs it", t, func() {
+	Convey("A removed engine no longer counts as one that runs the request", t, func() {
 		p := newTestPool(2, 0)
 		submit(p, req(1), start)
 		p.SetEndpoints([]route.Endpoint{{ID: "e9", Service: "llm", Slots: 64}}, start)
--- a/pkg/dispatch/fleet_simulation_test.go
+++ b/pkg/dispatch/fleet_simulation_test.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// fleetSimulation puts routers, and callers who come back once, before a simulated pool.
-// Any of the routers' requests may find another pool than those before: one that takes
-// over knows what runs, and is asked anew for what waits.
+// fleetSimulation adds routers, and callers who retry once, to a simulated pool. A pool that
+// takes over learns what runs, and waiting requests are submitted to it again.
 type fleetSimulation struct {
 	*simulation
 	routers   []BacklogLimiter
 	histories []History
 	// hop is the time of a message between a router and the pool.
 	hop time.Duration
-	// seconds are what each customer asked for and got, by second of the play; what is
-	// granted counts when it begins.
+	// seconds are the usage of each customer in each second of the run. A grant counts when the
+	// request begins.
 	seconds map[string][]secondUsage
-	// begun is when the play began.
+	// begun is when the run began.
 	begun time.Time
-	// waiting are the requests in line, by ID, and running those at engines.
+	// waiting are the queued requests by ID, and running those at engines.
 	waiting, running map[string]*fleetRequest
 }
 
-// second is one customer's, in tokens. Refused tells that some request was.
+// secondUsage is the usage of one customer in one second, in tokens. refused is set if a request
+// was refused.
 type secondUsage struct {
 	requested, granted float64
 	refused            bool
 }
 
-// fleetAsk is a request with where it came and where it is.
+// fleetRequest is a request with its router and its engine.
 type fleetRequest struct {
 	*Request
 	router int
-	// again is set for callers who came back.
+	// isRetry is set for the second try of a caller.
 	isRetry  bool
 	endpoint string
 	begun    bool
 }
 
-// crowd is a customer's callers: they come to so many of the routers, from the first on.
+// callerGroup is a customer's callers, who come to the first so many routers.
 type callerGroup struct {
 	sources []source
 	routers int
@@ -72,12 +72,12 @@
 	return &f.seconds[customer][number]
 }
 
-// play sends all crowds' requests for a time. Where takeOver is not zero, another pool
-// takes over then.
-func (f *fleetSimulation) play(length, takeOver time.Duration, crowds ...callerGroup) {
+// play sends the requests of all groups for a time. If takeOver is not zero, another pool takes
+// over then.
+func (f *fleetSimulation) play(length, takeOver time.Duration, groups ...callerGroup) {
 	end := f.now.Add(length)
 	number := 0
-	for _, c := range crowds {
+	for _, c := range groups {
 		for i := range c.sources {
 			from := &c.sources[i]
 			for when := f.next(f.now, from); when.Before(end); when = f.next(when, from) {
@@ -97,7 +97,7 @@
 	f.until(end)
 }
 
-// come is a caller's request at its router.
+// receive handles a caller's request at its router.
 func (f *fleetSimulation) receive(req *fleetRequest) {
 	req.cost = req.Cost()
 	f.second(req.Customer).requested += req.cost
@@ -114,7 +114,7 @@
 	f.pool.Submit(req.Request, f.now)
 }
 
-// refuse has a caller come back once.
+// refuse makes a caller retry once.
 func (f *fleetSimulation) refuse(req *fleetRequest, retryAfter time.Duration) {
 	f.second(req.Customer).refused = true
 	if req.isRetry {
@@ -158,14 +158,14 @@
 	})
 }
 
-// takeOver has a pool go on that is told of what runs, and asked for what waits.
+// takeOver replaces the pool by another one, which receives what runs and what waits.
 func (f *fleetSimulation) takeOver() {
 	before := f.pool
 	f.pool = &Pool{Rules: before.Rules, Rand: before.Rand, Warm: true}
 	f.pool.Configure(before.service, before.tokensPerSecond)
 	f.pool.SetEndpoints(before.Endpoints(), f.now)
-	for _, kept := range before.CachedParts() {
-		f.pool.AddCachedParts(kept, f.now)
+	for _, cached := range before.CachedParts() {
+		f.pool.AddCachedParts(cached, f.now)
 	}
 	running := make([][]*Request, len(f.routers))
 	for _, id := range slices.Sorted(maps.Keys(f.running)) {
@@ -174,8 +174,8 @@
 		running[req.router] = append(running[req.router], req.Request)
 	}
 	for i := range f.histories {
-		for _, served := range f.histories[i].Report(running[i], f.now) {
-			f.pool.AddHistory(served, f.now)
+		for _, total := range f.histories[i].Report(running[i], f.now) {
+			f.pool.AddHistory(total, f.now)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.waiting)) {
@@ -183,10 +183,10 @@
 	}
 }
 
-// unfair tells of the first six seconds in which a customer, refused something in each,
-// got less than a part of the smaller of what it asked and what the one that got most
-// did, second by second; empty where there are none.
-func (f *fleetSimulation) unfair(part float64) string {
+// unfair describes the first six seconds in each of which a customer was refused and in which it
+// got less than a fraction of what was due to it: second by second, the smaller of what it
+// requested and what the most served customer got. It returns "" if there are none.
+func (f *fleetSimulation) unfair(fraction float64) string {
 	const span = 6
 	length := int(f.now.Sub(f.begun) / time.Second)
 	for from := 0; from+span <= length; from++ {
@@ -194,12 +194,12 @@
 		for _, customer := range slices.Sorted(maps.Keys(f.seconds)) {
 			got, due, refused := 0.0, 0.0, true
 			for number := from; number < from+span; number++ {
-				one, other := f.of(customer, number), f.of(best, number)
+				one, other := f.usage(customer, number), f.usage(best, number)
 				got += one.granted
 				due += min(one.requested, other.granted)
 				refused = refused && one.refused
 			}
-			if refused && got < part*due {
+			if refused && got < fraction*due {
 				return fmt.Sprintf("from %d s: %s got %.2f of %.2f million that were due to it, as %s got", from, customer, got/1e6, due/1e6, best)
 			}
 		}
@@ -207,7 +207,7 @@
 	return ""
 }
 
-func (f *fleetSimulation) of(customer string, number int) secondUsage {
+func (f *fleetSimulation) usage(customer string, number int) secondUsage {
 	if number >= len(f.seconds[customer]) {
 		return secondUsage{}
 	}
@@ -219,7 +219,7 @@
 	for customer := range f.seconds {
 		got := 0.0
 		for number := from; number < to; number++ {
-			got += f.of(customer, number).granted
+			got += f.usage(customer, number).granted
 		}
 		if got > most || (got == most && customer < best) {
 			best, most = customer, got
@@ -228,12 +228,12 @@
 	return best
 }
 
-// rates are what a customer asked for and got in the whole play, in tokens a second.
-func (f *fleetSimulation) rates(customer string) (asked, got float64) {
+// rates returns what a customer requested and got over the whole run, in tokens a second.
+func (f *fleetSimulation) rates(customer string) (requested, got float64) {
 	for _, one := range f.seconds[customer] {
-		asked += one.requested
+		requested += one.requested
 		got += one.granted
 	}
 	length := f.now.Sub(f.begun).Seconds()
-	return asked / length, got / length
+	return requested / length, got / length
 }
--- a/pkg/dispatch/groups_test.go
+++ b/pkg/dispatch/groups_test.go
@@ -8,19 +8,19 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestFairOverGroups has customers whose prompts fall on one group of engines beside others
-// whose prompts fall on all. What each gets over all groups is to be fair, as the promise is of
-// the whole fleet; each group shares out alone.
+// TestFairOverGroups has a customer whose prompts go to one group of engines beside others whose
+// prompts go to all groups. What each gets over all groups has to be fair, as fairness is
+// promised for the whole fleet, but each group divides its engines alone.
 func TestFairOverGroups(t *testing.T) {
 	const (
 		groups, engines = 2, 30
 		wide            = 4
 		length          = 8 * time.Second
-		// least is what a customer gets at least, in parts of the smaller of what it asked and
-		// what the most served customer got.
+		// least is the minimum that a customer has to get, as a fraction of the smaller of what
+		// it requested and what the most served customer got.
 		least = 0.6
 	)
-	Convey("A customer whose prompts fall on one group gets what others get over all", t, func() {
+	Convey("A customer whose prompts go to one group gets what others get over all groups", t, func() {
 		fleet := make([]*simulation, groups)
 		for group := range fleet {
 			s := newSimulation(engines, statedRate*engines, readRate)
@@ -32,13 +32,13 @@
 			if group == 0 {
 				sources = append(sources, digestCustomer("narrow", 2*statedRate*engines)...)
 			}
-			s.otherGroups = func(customer string) (told OtherGroupUsage) {
+			s.otherGroups = func(customer string) (usage OtherGroupUsage) {
 				for _, other := range fleet {
 					if other != s {
-						other.addUsage(customer, &told)
+						other.addUsage(customer, &usage)
 					}
 				}
-				return told
+				return usage
 			}
 			s.send(length, sources...)
 			fleet[group] = s
@@ -48,10 +48,10 @@
 				s.until(at)
 			}
 		}
-		asked, got := map[string]float64{}, map[string]float64{}
+		requested, got := map[string]float64{}, map[string]float64{}
 		for _, s := range fleet {
 			for key, one := range s.tallies {
-				asked[key.customer] += one.requestedTokens
+				requested[key.customer] += one.requestedTokens
 				got[key.customer] += one.grantedTokens
 			}
 		}
@@ -59,9 +59,9 @@
 		for _, tokens := range got {
 			most = max(most, tokens)
 		}
-		for customer := range asked {
-			t.Logf("%s asked for %.2f and got %.2f million tokens", customer, asked[customer]/1e6, got[customer]/1e6)
+		for customer := range requested {
+			t.Logf("%s requested %.2f and got %.2f million tokens", customer, requested[customer]/1e6, got[customer]/1e6)
 		}
-		So(got["narrow"], ShouldBeGreaterThan, least*min(asked["narrow"], most))
+		So(got["narrow"], ShouldBeGreaterThan, least*min(requested["narrow"], most))
 	})
 }
--- a/pkg/dispatch/leaders_test.go
+++ b/pkg/dispatch/leaders_test.go
@@ -14,8 +14,9 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// leadersSimulation has boxes that change whom they ask: each has a pool, an account of what
-// runs, and a ledger of its own, and hears from the others after a while.
+// leadersSimulation has boxes that change the box which dispatches for them. Each has a pool
+// with its own record of running requests and its own ledger, and receives updates of the others
+// with a delay.
 type leadersSimulation struct {
 	*simulation
 	boxes []*leadersBox
@@ -23,13 +24,14 @@
 	running map[string][]*leadersRequest
 	down    map[string]bool
 	starts  int
-	// arrived is when the last message from one box to another one came.
+	// arrived is when the last message from one box to another arrived.
 	arrived map[[2]int]time.Time
-	// ends counts the engines that ended, by fingerprint; lost are the other requests that
-	// went with one, served those that were answered, and refused those that were turned away.
+	// ends counts the engines that ended, by fingerprint. lost counts the other requests that
+	// broke with an engine, served those that were answered, and refused those that were
+	// refused.
 	ends                  map[quarantine.Fingerprint]int
 	lost, served, refused int
-	// killAfter is from the beginning of a deadly request to the end of its engine.
+	// killAfter is the time from the beginning of a deadly request to the end of its engine.
 	killAfter time.Duration
 }
 
@@ -37,10 +39,10 @@
 	number int
 	pool   *Pool
 	ledger *quarantine.Ledger
-	// asks is the number of the box that this one asks.
-	asks int
-	// gone is set once it is gone, and stops once it stops; knowsGone are the others that it
-	// knows to be gone or stopping.
+	// dispatcher is the number of the box that dispatches for this one.
+	dispatcher int
+	// gone is set once the box is gone, and stops once it stops; knowsGone are the other boxes
+	// that it knows to be gone or stopping.
 	gone, stops bool
 	knowsGone   map[int]bool
 	// waiting and running are its requests by ID.
@@ -83,7 +85,7 @@
 	return s
 }
 
-// ranksFirst tells whether a box is the one to ask, by what it knows of the others.
+// ranksFirst reports whether a box is the dispatcher, by what it knows of the others.
 func (b *leadersBox) ranksFirst() bool {
 	for number := range b.number {
 		if !b.knowsGone[number] {
@@ -93,14 +95,14 @@
 	return !b.stops
 }
 
-// hop is the time of a message between two boxes.
+// hop returns a random time for a message between two boxes.
 func (s *leadersSimulation) hop() time.Duration {
 	return time.Millisecond + time.Duration(s.rand.ExpFloat64()*float64(3*time.Millisecond))
 }
 
 func (s *leadersSimulation) after(wait time.Duration, do func()) { s.at(s.now.Add(wait), do) }
 
-// message brings something from one box to another one, in order.
+// message delivers something from one box to another, in order.
 func (s *leadersSimulation) message(from, to *leadersBox, do func()) {
 	link := [2]int{from.number, to.number}
 	at := later(s.now.Add(s.hop()), s.arrived[link].Add(1))
@@ -108,7 +110,8 @@
 	s.at(at, do)
 }
 
-// play has all boxes decide what they are asked for a time.
+// play runs the simulation for a time, in which all boxes decide on the requests that they
+// received.
 func (s *leadersSimulation) play(length time.Duration) {
 	const tick = 4 * time.Millisecond
 	end := s.now.Add(length)
@@ -133,15 +136,16 @@
 	s.submit(req)
 }
 
-// submit asks the box that this one asks now.
+// submit sends a request to the dispatcher of its box.
 func (s *leadersSimulation) submit(req *leadersRequest) {
-	of, number := req.box, req.box.asks
-	told := *req.Request
-	told.Stream = uint64(of.number + 1)
-	s.send(of, number, func(p *Pool) { p.Submit(&told, s.now) })
+	of, number := req.box, req.box.dispatcher
+	sent := *req.Request
+	sent.Stream = uint64(of.number + 1)
+	s.send(of, number, func(p *Pool) { p.Submit(&sent, s.now) })
 }
 
-// send has a pool hear of something, unless the box that tells asks another one by then.
+// send passes a call to a dispatcher's pool, unless the sending box has another dispatcher by
+// the time it arrives.
 func (s *leadersSimulation) send(of *leadersBox, number int, do func(*Pool)) {
 	to := s.boxes[number]
 	if to == of {
@@ -149,7 +153,7 @@
 		return
 	}
 	s.message(of, to, func() {
-		if !to.gone && !of.gone && of.asks == number {
+		if !to.gone && !of.gone && of.dispatcher == number {
 			do(to.pool)
 		}
 	})
@@ -171,7 +175,7 @@
 	to := s.boxes[g.Request.Stream-1]
 	deliver := func() {
 		req := to.waiting[g.Request.ID]
-		if req == nil || to.gone || to.asks != by.number {
+		if req == nil || to.gone || to.dispatcher != by.number {
 			by.pool.End(g.Request.ID, Unused{}, s.now)
 			return
 		}
@@ -187,7 +191,7 @@
 
 func (s *leadersSimulation) refuse(by *leadersBox, d Refusal) {
 	to := s.boxes[d.Request.Stream-1]
-	if to.asks == by.number && to.waiting[d.Request.ID] != nil {
+	if to.dispatcher == by.number && to.waiting[d.Request.ID] != nil {
 		delete(to.waiting, d.Request.ID)
 		s.refused++
 	}
@@ -231,20 +235,20 @@
 	})
 }
 
-// leave takes a request off its engine.
+// removeRunning removes a request from its engine.
 func (s *leadersSimulation) removeRunning(req *leadersRequest) {
 	req.over = true
 	s.running[req.engine] = slices.DeleteFunc(s.running[req.engine], func(other *leadersRequest) bool { return other == req })
 }
 
-// tell has a box's own pool hear of something, and the one that it asks.
+// report passes a call to a box's own pool and to its dispatcher's.
 func (s *leadersSimulation) report(b *leadersBox, do func(*Pool)) {
 	if b.gone {
 		return
 	}
 	do(b.pool)
-	if b.asks != b.number {
-		s.send(b, b.asks, do)
+	if b.dispatcher != b.number {
+		s.send(b, b.dispatcher, do)
 	}
 }
 
@@ -253,7 +257,7 @@
 	s.report(req.box, func(p *Pool) { p.End(req.ID, outcome, s.now) })
 }
 
-// crash ends the engine of a deadly request, and all that runs there.
+// crash ends the engine of a deadly request, with all requests that run there.
 func (s *leadersSimulation) crash(by *leadersRequest) {
 	if by.over {
 		return
@@ -282,7 +286,7 @@
 	s.after(time.Second, func() { s.replace(engine, back) })
 }
 
-// spread has the other boxes hear what one saw.
+// shareEnds sends the ends that one box knows to the others.
 func (s *leadersSimulation) shareEnds(from *leadersBox) {
 	ends, _ := from.ledger.Since(0, "", s.now)
 	for _, other := range s.boxes {
@@ -292,7 +296,7 @@
 	}
 }
 
-// replace has an engine back under another ID; boxes hear of it one after the other.
+// replace restarts an engine under another ID; boxes learn it at different times.
 func (s *leadersSimulation) replace(engine, back string) {
 	for _, b := range s.boxes {
 		s.after(s.hop(), func() {
@@ -307,28 +311,28 @@
 	}
 }
 
-// turnTo has a box ask another one from now on.
+// switchTo changes the dispatcher of a box.
 func (s *leadersSimulation) switchTo(b *leadersBox, number int) {
-	if b.gone || b.asks == number {
+	if b.gone || b.dispatcher == number {
 		return
 	}
-	if before := s.boxes[b.asks]; before != b {
+	if before := s.boxes[b.dispatcher]; before != b {
 		s.message(b, before, func() { before.pool.DropStream(uint64(b.number+1), s.now) })
 	}
-	b.asks = number
+	b.dispatcher = number
 	for _, id := range slices.Sorted(maps.Keys(b.running)) {
 		req := b.running[id]
-		told := *req.Request
-		told.Stream = uint64(b.number + 1)
-		s.send(b, number, func(p *Pool) { p.Adopt(&told, req.engine, false, s.now) })
+		sent := *req.Request
+		sent.Stream = uint64(b.number + 1)
+		s.send(b, number, func(p *Pool) { p.Adopt(&sent, req.engine, false, s.now) })
 	}
 	for _, id := range slices.Sorted(maps.Keys(b.waiting)) {
 		s.submit(b.waiting[id])
 	}
 }
 
-// lose has a box go: at once with all its requests, or by a planned stop, in which it goes on
-// with those that it has. The others turn to the next one within a time.
+// failBox removes a box: at once with all its requests, or by a planned stop, in which it
+// finishes those that it has. The others switch to the next box within a time.
 func (s *leadersSimulation) failBox(number int, killed bool, within time.Duration) {
 	gone := s.boxes[number]
 	next := (number + 1) % len(s.boxes)
@@ -338,7 +342,7 @@
 		}
 		s.after(time.Duration(s.rand.Int64N(int64(within))), func() {
 			b.knowsGone[number] = true
-			if b.asks == number {
+			if b.dispatcher == number {
 				s.switchTo(b, next)
 			}
 		})
@@ -354,18 +358,18 @@
 	}
 }
 
-// doubt has one box ask another one, or decide alone, for a while.
+// divert makes a box use another dispatcher, or dispatch for itself, for a while.
 func (s *leadersSimulation) divert(b *leadersBox, number int, length time.Duration) {
-	before := b.asks
+	before := b.dispatcher
 	s.switchTo(b, number)
 	s.after(length, func() {
-		if b.asks == number && !s.boxes[before].gone {
+		if b.dispatcher == number && !s.boxes[before].gone {
 			s.switchTo(b, before)
 		}
 	})
 }
 
-// innocents come to all boxes at a rate a second.
+// sendInnocents sends innocent requests to all boxes at a rate per second.
 func (s *leadersSimulation) sendInnocents(perSecond float64, length time.Duration) (number int) {
 	from := &source{customer: "others", route: "chat", perSecond: perSecond, latencyTarget: 600 * time.Millisecond, shared: 350, own: 1110, sharedParts: 160, output: 170}
 	end := s.now.Add(length)
@@ -378,9 +382,9 @@
 	return number
 }
 
-// waves has repeats of one deadly request come to all boxes at once, again and again.
+// sendWaves sends repeats of one deadly request to all boxes at once, several times.
 func (s *leadersSimulation) sendWaves(body string, from, gap time.Duration, count, each int) {
-	// Repeats may tell other parts of their prompt, long ones too.
+	// Repeats may differ in the parts that they report for their prompt, long ones included.
 	shared := 350
 	if s.rand.IntN(2) == 0 {
 		shared = 3 * maxShortShared
@@ -405,7 +409,8 @@
 	return most
 }
 
-// playLeaders draws a fleet by a seed, with one change of who decides while repeats come.
+// playLeaders runs a fleet drawn from a seed, with one change of the dispatcher while repeats
+// arrive.
 func playLeaders(seed uint64) (*leadersSimulation, string) {
 	draw := rand.New(rand.NewPCG(seed, 6))
 	engines, boxes := 4+draw.IntN(12), 3+draw.IntN(5)
@@ -426,7 +431,7 @@
 		name = "the box that dispatches is killed"
 		s.at(change, func() { s.failBox(0, true, 300*time.Millisecond) })
 	case 3:
-		name = "boxes ask another one or decide alone"
+		name = "boxes use another dispatcher or dispatch for themselves"
 		for _, b := range s.boxes[1:] {
 			to := b.number
 			if draw.IntN(2) == 0 {
@@ -435,7 +440,7 @@
 			s.at(change.Add(time.Duration(draw.IntN(30))*time.Millisecond), func() { s.divert(b, to, 1500*time.Millisecond) })
 		}
 	case 4:
-		name = "boxes turn away and back, one after the other"
+		name = "boxes switch dispatchers and back, at different times"
 		for _, b := range s.boxes[1:] {
 			for range 3 {
 				after := time.Duration(draw.IntN(800)) * time.Millisecond
@@ -448,8 +453,8 @@
 	return s, name
 }
 
-// TestMostEndsUnderChange guards against a request that ends more than three engines as boxes
-// turn to another one or decide alone while its repeats come.
+// TestMostEndsUnderChange guards against a request that ends more than three engines while boxes
+// switch to another dispatcher, or dispatch for themselves, and its repeats arrive.
 func TestMostEndsUnderChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, name := playLeaders(rapid.Uint64().Draw(t, "seed"))
@@ -459,8 +464,8 @@
 	})
 }
 
-// TestLeadersFigures sums up drawn fleets by what changed, 400 of them with
-// QUAYLEAD_FLEETS=400; -v prints the figures.
+// TestLeadersFigures sums up random fleets by the kind of change. QUAYLEAD_FLEETS=400 runs 400
+// of them, and -v prints the figures.
 func TestLeadersFigures(t *testing.T) {
 	type figures struct{ plays, broken, most, ends, lost, served, refused int }
 	by := map[string]*figures{}
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -22,13 +22,13 @@
 	return p
 }
 
-// rest has an engine get nothing new for as long as a test takes.
+// eject keeps an engine from getting new requests for the rest of a test.
 func eject(p *Pool, id string) { p.engines[id].ejectedUntil = start.Add(time.Hour) }
 
-// shared is a long part that other prompts have too.
+// shared returns a long part that other prompts have too.
 func shared(id uint64) Part { return Part{ID: id, Tokens: 13000} }
 
-// submit puts a request in line and returns what is decided at once.
+// submit queues a request and returns the decisions made at once.
 func submit(p *Pool, req *Request, now time.Time) []Decision {
 	p.Submit(req, now)
 	return p.Decide(now)
@@ -48,12 +48,12 @@
 		So(again.Endpoint, ShouldEqual, grant.Endpoint)
 		So(again.MissingTokens, ShouldEqual, 0)
 	})
-	Convey("A prompt waits for the engine that keeps its part rather than have it read elsewhere", t, func() {
+	Convey("A prompt waits for the engine that has its part cached rather than have it read elsewhere", t, func() {
 		p := newTestPool(9, 0)
 		home := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
 		later := start.Add(2 * time.Second)
 		p.Begin("1", later)
-		// Fill the home beyond the bound.
+		// Fill the home beyond its maximum backlog.
 		for i := range 3 {
 			p.book(newRequest(fmt.Sprint("fill", i), "b", later, Part{ID: uint64(200 + i), Tokens: 6000}), p.engines[home], later)
 		}
@@ -64,7 +64,7 @@
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].(Grant).Endpoint, ShouldEqual, home)
 	})
-	Convey("A prompt with a short shared part goes where that is kept, unless it waits far longer there", t, func() {
+	Convey("A prompt with a short shared part goes where that is cached, unless it waits far longer there", t, func() {
 		p := newTestPool(9, 0)
 		short := Part{ID: 7, Tokens: 500}
 		home := submit(p, newRequest("1", "a", start, short, Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
@@ -75,7 +75,7 @@
 		p.book(newRequest("more", "b", later, Part{ID: 201, Tokens: 8000}), p.engines[home], later)
 		So(submit(p, newRequest("3", "a", later, short, Part{ID: 102, Tokens: 100}), later)[0].(Grant).Endpoint, ShouldNotEqual, home)
 	})
-	Convey("Where its home is far behind, it goes to another one", t, func() {
+	Convey("If its home is far behind, it goes to another one", t, func() {
 		p := newTestPool(9, 0)
 		home := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
 		later := start.Add(2 * time.Second)
@@ -85,7 +85,7 @@
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].(Grant).Endpoint, ShouldNotEqual, home)
 	})
-	Convey("Homes stay when another engine goes", t, func() {
+	Convey("Homes do not change when another engine is removed", t, func() {
 		p := newTestPool(9, 0)
 		homes := map[uint64]string{}
 		for id := range uint64(50) {
@@ -104,12 +104,13 @@
 			}
 		}
 	})
-	Convey("A request goes to no engine that it was refused by, nor to one that leaves", t, func() {
+	Convey("A request goes to no engine that refused it, nor to one that is leaving", t, func() {
 		p := newTestPool(2, 0)
 		p.engines["e0"].life.Leaving = true
 		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
 		req.Excluded = []string{"e1"}
-		// No engine is left that may serve it: it is refused at once, and not held in vain.
+		// No engine is left that may serve it: it is refused at once instead of being held until
+		// its maximum wait.
 		decided := submit(p, req, start)
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].(Refusal).Request, ShouldEqual, req)
@@ -119,7 +120,7 @@
 }
 
 func TestTurningAway(t *testing.T) {
-	Convey("What finds no room is turned away within its part of the aim, with a time to come back", t, func() {
+	Convey("A request that finds no room is refused after its maximum wait, with a time to retry", t, func() {
 		p := newTestPool(1, 0)
 		eject(p, "e0")
 		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
@@ -130,8 +131,8 @@
 		So(decided[0].(Refusal).RetryAfter, ShouldBeGreaterThan, 0)
 		So(p.Waiting(), ShouldEqual, 0)
 	})
-	Convey("The time to come back is that in which what waits is granted: more for a longer line", t, func() {
-		comeBack := func(waiting int) time.Duration {
+	Convey("The time to retry is that in which the queue is granted: longer for a longer queue", t, func() {
+		retryAfter := func(waiting int) time.Duration {
 			p := newTestPool(1, 10000)
 			a := p.account("a")
 			p.share, p.shareAt, p.best = 1, start, engineSnapshot{}
@@ -148,12 +149,12 @@
 			return p.retryAfter(a, newRequest("new", "a", start, Part{ID: 1, Tokens: 900}), true, start)
 		}
 		// Eight were granted in four seconds, so one waits for half a second.
-		So(comeBack(1), ShouldBeBetween, 125*time.Millisecond, 375*time.Millisecond)
-		So(comeBack(4), ShouldBeBetween, 500*time.Millisecond, 1500*time.Millisecond)
-		So(comeBack(1000), ShouldBeLessThanOrEqualTo, maxRetryAfter)
-		So(comeBack(0), ShouldBeGreaterThan, 0)
+		So(retryAfter(1), ShouldBeBetween, 125*time.Millisecond, 375*time.Millisecond)
+		So(retryAfter(4), ShouldBeBetween, 500*time.Millisecond, 1500*time.Millisecond)
+		So(retryAfter(1000), ShouldBeLessThanOrEqualTo, maxRetryAfter)
+		So(retryAfter(0), ShouldBeGreaterThan, 0)
 	})
-	Convey("A withdrawn request is neither granted nor turned away", t, func() {
+	Convey("A withdrawn request is neither granted nor refused", t, func() {
 		p := newTestPool(1, 0)
 		eject(p, "e0")
 		submit(p, newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), start)
@@ -164,11 +165,11 @@
 }
 
 func TestShares(t *testing.T) {
-	Convey("The even share is max-min", t, func() {
+	Convey("The share is max-min fair", t, func() {
 		So(maxMinShare([]float64{10, 20, 100, 100}, 130), ShouldEqual, 50)
 		So(maxMinShare([]float64{10, 20}, 100), ShouldBeGreaterThanOrEqualTo, 20)
 	})
-	Convey("With one customer flooding, another's requests go first", t, func() {
+	Convey("While one customer floods the pool, another's requests go first", t, func() {
 		p := newTestPool(1, 100000)
 		now := start
 		served := map[string]int{}
@@ -197,7 +198,7 @@
 		So(served["small"], ShouldEqual, 50)
 		So(served["flood"], ShouldBeGreaterThan, 100)
 	})
-	Convey("A customer far beyond its share gets idle engines only, one within it the whole bound", t, func() {
+	Convey("A customer far over its share gets idle engines only, one within it the whole backlog", t, func() {
 		p := newTestPool(1, 10000)
 		p.Submit(newRequest("first", "flood", start, Part{ID: 1, Tokens: 5000}), start)
 		p.Submit(newRequest("other", "small", start, Part{ID: 2, Tokens: 1000}), start)
@@ -209,7 +210,7 @@
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].(Grant).Request.ID, ShouldEqual, "within")
 	})
-	Convey("Where the engines do more than is stated, customers beyond their stated share divide the rest", t, func() {
+	Convey("If the engines do more than is stated, customers over their stated share divide the rest", t, func() {
 		used := func(stated float64) (refused int) {
 			s := newSimulation(9, stated, 110000)
 			s.play(10*time.Second, append(largeCustomer("large", 2), largeCustomer("other", 1)...)...)
@@ -218,11 +219,11 @@
 			}
 			return refused
 		}
-		// 480,000 tokens a second are asked for, and the engines can begin far more.
+		// 480,000 tokens a second are requested, and the engines can begin far more.
 		So(used(480000), ShouldBeLessThanOrEqualTo, 5)
 		So(used(150000), ShouldBeLessThanOrEqualTo, 25)
 	})
-	Convey("What a router that is gone had is forgotten", t, func() {
+	Convey("The requests of a router that is gone are dropped", t, func() {
 		p := newTestPool(1, 0)
 		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
 		req.Stream = 5
@@ -232,7 +233,7 @@
 		So(p.Running(), ShouldEqual, 0)
 		So(p.engines["e0"].running, ShouldEqual, 0)
 	})
-	Convey("What came by one way is not forgotten with another way of the same box", t, func() {
+	Convey("The requests of one stream are not dropped with another stream of the same box", t, func() {
 		p := newTestPool(1, 0)
 		first, second := newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), newRequest("2", "a", start, Part{ID: 2, Tokens: 10})
 		first.Stream, second.Stream = 1, 2
@@ -242,7 +243,7 @@
 		So(p.Running(), ShouldEqual, 1)
 		So(p.grants["1"], ShouldNotBeNil)
 	})
-	Convey("What is told again by a new way stays when the old way ends, running or in line", t, func() {
+	Convey("Running and waiting requests that are reported again by a new stream stay when the old one ends", t, func() {
 		p := newTestPool(1, 0)
 		running, waiting := newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), newRequest("2", "a", start, Part{ID: 2, Tokens: 10})
 		running.Stream, waiting.Stream = 1, 1
@@ -259,14 +260,14 @@
 		p.DropStream(2, start)
 		So(p.Running()+p.Waiting(), ShouldEqual, 0)
 	})
-	Convey("A request whose grant was lost on the way is granted again when it asks anew", t, func() {
+	Convey("A request whose grant was lost on the way is granted again when it is submitted again", t, func() {
 		p := newTestPool(1, 0)
 		submit(p, newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), start)
 		later := start.Add(time.Second)
 		So(submit(p, newRequest("1", "a", later, Part{ID: 1, Tokens: 10}), later), ShouldHaveLength, 1)
 		So(p.engines["e0"].running, ShouldEqual, 1)
 	})
-	Convey("What another box granted is taken over once", t, func() {
+	Convey("A request that another box granted is adopted once", t, func() {
 		p := newTestPool(1, 0)
 		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
 		p.Adopt(req, "e0", false, start)
@@ -280,19 +281,19 @@
 }
 
 func TestTakingOver(t *testing.T) {
-	Convey("A box that takes over grants as the one before it", t, func() {
+	Convey("A box that takes over grants like its predecessor", t, func() {
 		before, after := newTestPool(9, 0), newTestPool(9, 0)
 		home := submit(before, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
-		kept := before.CachedParts()
-		So(kept, ShouldResemble, []CachedParts{{Endpoint: home, Parts: []Part{shared(7)}}})
-		for _, k := range kept {
-			after.AddCachedParts(k, start)
+		cached := before.CachedParts()
+		So(cached, ShouldResemble, []CachedParts{{Endpoint: home, Parts: []Part{shared(7)}}})
+		for _, c := range cached {
+			after.AddCachedParts(c, start)
 		}
 		again := submit(after, newRequest("2", "a", start, shared(7), Part{ID: 101, Tokens: 100}), start)[0].(Grant)
 		So(again.Endpoint, ShouldEqual, home)
 		So(again.MissingTokens, ShouldEqual, 0)
 	})
-	Convey("After a restart of all, parts are believed at their homes for a while", t, func() {
+	Convey("After a restart of all boxes, parts are assumed to be cached at their homes for a while", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
 		grant := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant)
@@ -301,7 +302,7 @@
 		grant = submit(p, newRequest("2", "a", later, shared(8), Part{ID: 101, Tokens: 100}), later)[0].(Grant)
 		So(grant.MissingTokens, ShouldEqual, 13000)
 	})
-	Convey("What is learnt never makes an engine keep more than its memory", t, func() {
+	Convey("Reported parts never exceed the capacity of an engine's cache", t, func() {
 		p := newTestPool(1, 0)
 		var parts []Part
 		for id := range uint64(100) {
@@ -315,27 +316,27 @@
 
 func TestListedMemories(t *testing.T) {
 	req := func(id string) *Request { return newRequest(id, "a", start, shared(7), Part{ID: 100, Tokens: 100}) }
-	Convey("After a restart a part is believed to be at its first home", t, func() {
+	Convey("After a restart a part is assumed to be cached at its first home", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
 		So(submit(p, req("1"), start)[0].(Grant).MissingTokens, ShouldEqual, 0)
 	})
-	Convey("Once the engines have told what they keep, it is sent there", t, func() {
+	Convey("Once the engines have reported their caches, it is sent where the part is cached", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
-		keeper := p.homes(req("0"), start)[1].ID
+		holder := p.homes(req("0"), start)[1].ID
 		for _, e := range p.sorted {
-			kept := CachedParts{Endpoint: e.ID}
-			if e.ID == keeper {
-				kept.Parts = []Part{shared(7)}
+			cached := CachedParts{Endpoint: e.ID}
+			if e.ID == holder {
+				cached.Parts = []Part{shared(7)}
 			}
-			p.ApplyCacheReport(kept, start)
+			p.ApplyCacheReport(cached, start)
 		}
 		grant := submit(p, req("1"), start)[0].(Grant)
-		So(grant.Endpoint, ShouldEqual, keeper)
+		So(grant.Endpoint, ShouldEqual, holder)
 		So(grant.MissingTokens, ShouldEqual, 0)
 	})
-	Convey("What none of them keeps is known to be missing", t, func() {
+	Convey("A part that no engine reports is known to be missing", t, func() {
 		p := newTestPool(9, 0)
 		p.Warm = true
 		p.homes(req("0"), start)
@@ -356,18 +357,18 @@
 		p.End("1", Broken{}, start)
 		return p.account("a").granted.sum
 	}
-	Convey("A customer is not charged for what broke before it began", t, func() {
+	Convey("A customer is not charged for a request that broke before it began", t, func() {
 		So(granted(false), ShouldEqual, 0)
 	})
-	Convey("It is for what broke after its first token", t, func() {
+	Convey("It is charged for one that broke after its first token", t, func() {
 		So(granted(true), ShouldBeGreaterThan, 5000)
 	})
 }
 
 func TestStandings(t *testing.T) {
-	Convey("Who got clearly less than another does not wait for idle engines only", t, func() {
+	Convey("A customer that got clearly less than another does not wait for idle engines only", t, func() {
 		p := newTestPool(1, 1000)
-		asked := func(customer string, granted float64) shareLevel {
+		level := func(customer string, granted float64) shareLevel {
 			p.account(customer).requested.add(100000, start, p.Rules.Window)
 			p.account(customer).granted.add(granted, start, p.Rules.Window)
 			p.shareAt = time.Time{}
@@ -376,9 +377,9 @@
 			req.cost = 100
 			return p.shareLevel(p.account(customer), req)
 		}
-		So(asked("ward", 10000), ShouldEqual, farOverShare)
-		So(asked("camp", 7000), ShouldEqual, overShare)
-		So(asked("ward", 0), ShouldEqual, farOverShare)
-		So(asked("camp", 1000), ShouldEqual, farOverShare)
+		So(level("ward", 10000), ShouldEqual, farOverShare)
+		So(level("camp", 7000), ShouldEqual, overShare)
+		So(level("ward", 0), ShouldEqual, farOverShare)
+		So(level("camp", 1000), ShouldEqual, farOverShare)
 	})
 }
--- a/pkg/dispatch/simulation_test.go
+++ b/pkg/dispatch/simulation_test.go
@@ -12,40 +12,40 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// simulation plays a pool before engines that read prompts in order, and then make
-// tokens beside reading. It is told nothing of what the pool believes.
+// simulation runs a pool with simulated engines, which read prompts in order and generate tokens
+// while they read. It uses none of the pool's estimates.
 type simulation struct {
 	pool *Pool
-	// readRate is in tokens a second and engine; first goes from the end of reading
-	// to the first token; step is between two tokens of an answer.
+	// readRate is in tokens per second and engine; firstTokenDelay is the time from the end of
+	// reading to the first token; tokenInterval is that between two tokens of an answer.
 	readRate        float64
 	firstTokenDelay time.Duration
 	tokenInterval   time.Duration
-	// kept parts cost no reading.
+	// cached parts cost no reading time.
 	cached map[string]map[uint64]bool
-	// freeAt is when each engine has read all that it was given.
+	// freeAt is when each engine has read all prompts that it got.
 	freeAt map[string]time.Time
 	events eventHeap
 	rand   *rand.Rand
 	now    time.Time
 
 	tallies map[tallyKey]*tally
-	// elsewhere is what a customer gets in other groups; nil means that there are none.
+	// otherGroups returns what a customer gets in other groups; nil means that there are none.
 	otherGroups func(customer string) OtherGroupUsage
 }
 
-// tell adds what a customer asked for and got here of late.
-func (s *simulation) addUsage(customer string, told *OtherGroupUsage) {
+// addUsage adds what a customer recently requested and was granted here.
+func (s *simulation) addUsage(customer string, usage *OtherGroupUsage) {
 	if a := s.pool.accounts[customer]; a != nil {
 		a.advance(s.now, s.pool.Rules.Window)
-		told.Requested += a.requested.sum
-		told.Granted += a.granted.sum
+		usage.Requested += a.requested.sum
+		usage.Granted += a.granted.sum
 	}
 }
 
 type tallyKey struct{ customer, route string }
 
-// tally counts what became of requests.
+// tally counts the outcomes of requests.
 type tally struct {
 	requested, inTime, late, refused int
 	requestedTokens, grantedTokens   float64
@@ -69,7 +69,7 @@
 	return last
 }
 
-// source is a customer's requests of one route.
+// source generates a customer's requests for one route.
 type source struct {
 	customer, route string
 	perSecond       float64
@@ -106,14 +106,14 @@
 	heap.Push(&s.events, simEvent{at: when, do: do})
 }
 
-// play sends all sources' requests for a time, and lets what is under way end.
+// play sends the requests of all sources for a time, and lets the running ones end.
 func (s *simulation) play(length time.Duration, sources ...source) {
 	end := s.now.Add(length)
 	s.send(length, sources...)
 	s.until(end.Add(time.Hour))
 }
 
-// send has all sources' requests come for a time.
+// send schedules the requests of all sources for a time.
 func (s *simulation) send(length time.Duration, sources ...source) {
 	end := s.now.Add(length)
 	number := 0
@@ -130,7 +130,7 @@
 	}
 }
 
-// until lets happen what is due before a time.
+// until runs the events that are due before a time.
 func (s *simulation) until(end time.Time) {
 	for len(s.events) > 0 && s.events[0].at.Before(end) {
 		next := heap.Pop(&s.events).(simEvent)
@@ -146,8 +146,8 @@
 func (s *simulation) newRequest(from *source, number int, now time.Time) *Request {
 	var parts []Part
 	if from.shared > 0 {
-		thing := 1 + s.rand.IntN(max(1, from.sharedParts))
-		parts = append(parts, Part{ID: uint64(thing) + uint64(from.shared)<<32, Tokens: from.shared})
+		partNumber := 1 + s.rand.IntN(max(1, from.sharedParts))
+		parts = append(parts, Part{ID: uint64(partNumber) + uint64(from.shared)<<32, Tokens: from.shared})
 	}
 	parts = append(parts, Part{ID: uint64(number) << 40, Tokens: from.own})
 	return &Request{
@@ -199,8 +199,8 @@
 	s.at(begins.Add(time.Duration(g.Request.ExpectedOutput())*s.tokenInterval), func() { s.pool.End(g.Request.ID, Done{}, s.now) })
 }
 
-// read has an engine read a prompt after those that it was given before, and returns
-// when the first token comes.
+// read makes an engine read a prompt after those that it got before, and returns when the first
+// token comes.
 func (s *simulation) read(g Grant) (begins time.Time) {
 	tokens := 0
 	for _, part := range g.Request.Parts {
@@ -228,7 +228,7 @@
 	}
 }
 
-// The requests of a large customer, as its sheet tells them.
+// largeCustomer returns the requests of a large customer, as in its specification.
 func largeCustomer(name string, factor float64) []source {
 	return []source{
 		{customer: name, route: "draft", perSecond: 10 * factor, latencyTarget: 600 * time.Millisecond, shared: 5400, own: 6600, sharedParts: 30, output: 380},
@@ -238,7 +238,7 @@
 }
 
 func TestKindsOfOneCustomer(t *testing.T) {
-	Convey("A customer ten times beyond its share gets about the same part of each kind", t, func() {
+	Convey("A customer with ten times its share gets about the same fraction of each route", t, func() {
 		s := newSimulation(9, 430000, 110000)
 		length := 20 * time.Second
 		s.play(length, append(largeCustomer("flood", 30), largeCustomer("other", 1)...)...)
@@ -257,7 +257,7 @@
 }
 
 func TestHopelessRequests(t *testing.T) {
-	Convey("Of a customer ten times beyond its share, most of what is refused is not held", t, func() {
+	Convey("Most refused requests of a customer with ten times its share are refused on arrival", t, func() {
 		s := newSimulation(9, 430000, 110000)
 		s.play(10*time.Second, append(largeCustomer("flood", 30), largeCustomer("other", 1)...)...)
 		refused, held, served := 0, time.Duration(0), 0
@@ -274,10 +274,10 @@
 	})
 }
 
-// TestSpeedsOfEngines holds that no bound is right for engines of one speed only: a pool
-// three times slower or faster, with requests and aims to match, serves as many.
+// TestSpeedsOfEngines checks that no constant fits only engines of one speed: a pool three times
+// slower or faster, with requests and latency targets to match, serves the same fraction.
 func TestSpeedsOfEngines(t *testing.T) {
-	served := func(factor float64) (inAim, refused float64) {
+	served := func(factor float64) (inTime, refused float64) {
 		s := newSimulation(9, 430000*factor, 110000*factor)
 		scaled := func(length time.Duration) time.Duration { return time.Duration(float64(length) / factor) }
 		s.firstTokenDelay, s.tokenInterval = scaled(s.firstTokenDelay), scaled(s.tokenInterval)
@@ -288,44 +288,44 @@
 			sources[i].latencyTarget = scaled(sources[i].latencyTarget)
 		}
 		s.play(scaled(20*time.Second), sources...)
-		asked := 0
+		requested := 0
 		for _, one := range s.tallies {
-			asked += one.requested
-			inAim += float64(one.inTime)
+			requested += one.requested
+			inTime += float64(one.inTime)
 			refused += float64(one.refused)
 		}
-		return inAim / float64(asked), refused / float64(asked)
+		return inTime / float64(requested), refused / float64(requested)
 	}
-	inAim, refused := served(1)
+	inTime, refused := served(1)
 	for _, factor := range []float64{1. / 3, 3} {
 		Convey(fmt.Sprintf("Engines %.2f times as fast", factor), t, func() {
-			inAimThen, refusedThen := served(factor)
-			So(inAimThen, ShouldBeBetween, inAim-0.1, inAim+0.1)
+			inTimeThen, refusedThen := served(factor)
+			So(inTimeThen, ShouldBeBetween, inTime-0.1, inTime+0.1)
 			So(refusedThen, ShouldBeBetween, refused-0.1, refused+0.1)
 		})
 	}
 }
 
 func TestAims(t *testing.T) {
-	Convey("The shortest aim of the last two windows counts", t, func() {
+	Convey("The shortest latency target of the last two windows counts", t, func() {
 		var a latencyTargets
 		p := &Pool{}
-		note := func(after, aim time.Duration) time.Duration {
-			a.record(aim, start.Add(after), 4*time.Second)
+		record := func(after, target time.Duration) time.Duration {
+			a.record(target, start.Add(after), 4*time.Second)
 			p.targets = a
 			return p.shortestTarget()
 		}
-		So(note(0, 600*time.Millisecond), ShouldEqual, 600*time.Millisecond)
-		So(note(time.Second, 300*time.Millisecond), ShouldEqual, 300*time.Millisecond)
-		So(note(5*time.Second, 600*time.Millisecond), ShouldEqual, 300*time.Millisecond)
-		So(note(10*time.Second, 600*time.Millisecond), ShouldEqual, 600*time.Millisecond)
-		So(note(30*time.Second, time.Second), ShouldEqual, time.Second)
+		So(record(0, 600*time.Millisecond), ShouldEqual, 600*time.Millisecond)
+		So(record(time.Second, 300*time.Millisecond), ShouldEqual, 300*time.Millisecond)
+		So(record(5*time.Second, 600*time.Millisecond), ShouldEqual, 300*time.Millisecond)
+		So(record(10*time.Second, 600*time.Millisecond), ShouldEqual, 600*time.Millisecond)
+		So(record(30*time.Second, time.Second), ShouldEqual, time.Second)
 	})
-	Convey("An engine that takes work waits no longer than half of it", t, func() {
-		room := func(aim time.Duration) bool {
+	Convey("An engine gets new work if its predicted wait is at most half of it", t, func() {
+		room := func(target time.Duration) bool {
 			p := newTestPool(1, 0)
 			req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
-			req.LatencyTarget = aim
+			req.LatencyTarget = target
 			p.book(newRequest("before", "b", start, Part{ID: 2, Tokens: initialRate / 5}), p.engines["e0"], start)
 			return len(submit(p, req, start)) > 0
 		}
--- a/pkg/dispatch/tally_test.go
+++ b/pkg/dispatch/tally_test.go
@@ -15,7 +15,7 @@
 		a.MaxOutput, a.HintOutput = output, output
 		return a
 	}
-	Convey("What becomes of each request is counted once, and the count starts anew when taken", t, func() {
+	Convey("The outcome of each request is counted once, and taking the tallies resets them", t, func() {
 		p := newTestPool(1, 0)
 		So(submit(p, req("a", "ward"), start), ShouldHaveLength, 1)
 		So(submit(p, req("b", "ward"), start), ShouldHaveLength, 1)
@@ -28,7 +28,7 @@
 		}}})
 		So(p.TakeTallies(), ShouldBeEmpty)
 	})
-	Convey("What is not granted is counted by how it left the line", t, func() {
+	Convey("Requests that are not granted are counted by how they left the queue", t, func() {
 		p := newTestPool(1, 0)
 		eject(p, "e0")
 		p.Submit(req("a", "ward"), start)
@@ -40,7 +40,7 @@
 			{"ward", Tally{Requested: cost, RefusedAfterWait: cost}},
 		})
 	})
-	Convey("What another pool granted is not counted here", t, func() {
+	Convey("Grants of another pool are not counted here", t, func() {
 		p := newTestPool(1, 0)
 		p.Adopt(req("a", "ward"), "e0", false, start)
 		p.Begin("a", start)
