--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -48,8 +48,8 @@
 	// MissFactor weighs the time for reading shared parts again, in addition to the time itself,
 	// for prompts that go only to the homes of their parts. ShortMissFactor is for prompts whose
 	// shared parts are short: they may go to any engine, and there are far more of them. With 2
-	// for these too, 0.48 instead of 0.45 million tokens were read again on a simulated day
-	// without failures of 50 s, and 1.5 in 100 less of what was requested was answered in time
+	// for these too, 0.48 instead of 0.45 million tokens were read again on a simulated day of
+	// 50 s without failures, and 1.5 in 100 less of what was requested was answered in time
 	// (2 pairs).
 	MissFactor, ShortMissFactor float64
 	// Window is the time over which customers' shares are counted.
