--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -15,26 +15,26 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// destination is the endpoint that a request is to go to.
+// destination is the endpoint chosen for an attempt.
 type destination struct {
 	route.Endpoint
-	// finish settles the attempt.
+	// finish records the outcome of the attempt.
 	finish func(outcome)
-	// settle does so with the time that the answer took; it is only set for plain
-	// endpoints.
+	// finishTimed also records how long the answer took; it is set only for plain endpoints.
 	finishTimed func(how outcome, took time.Duration)
-	// begin notes the first event; it is only set for engines.
+	// begin records the first event; it is set only for engines.
 	begin func()
-	// granted is what was predicted, and at when it was granted; both are only
-	// set for engines.
+	// granted is the dispatcher's grant with its predicted times, and grantedAt when it was
+	// made; both are set only for engines.
 	granted   verdict
 	grantedAt time.Time
-	// suspended is the sum of the suspensions that were noticed before it was chosen.
+	// suspendedTotal is the total suspension time of the machine noticed before the endpoint
+	// was chosen.
 	suspendedTotal time.Duration
 }
 
-// attempt sends the request to an endpoint and waits for the head of the
-// answer. A failure says what to do next.
+// attempt sends the request to an endpoint and waits for the head of the answer. Its errors go
+// to handleFailure, which decides how to continue.
 func (c *call) attempt(to destination, lastEvent string) (*endpoint.Reply, error) {
 	if c.life.State() < request.Queued {
 		// A received request can always be queued.
@@ -80,17 +80,16 @@
 	return reply, nil
 }
 
-// drop reads what is left of a short answer, so that its connection can be
-// used again.
+// drop reads the rest of a short answer, so that its connection can be reused.
 func (c *call) drop(reply *endpoint.Reply) {
 	if _, err := reply.Whole(maxHeadBytes); err != nil {
-		c.log().Debug("refusal of an endpoint was cut", zap.String("Request", c.ID), zap.Error(err))
+		c.log().Debug("answer of an endpoint that declined was truncated", zap.String("Request", c.ID), zap.Error(err))
 	}
 	reply.Close()
 }
 
-// compose makes the request for an endpoint: all as the caller sent it, but for
-// the headers that concern a connection or are ours.
+// buildRequest builds the request for an endpoint: the caller's request without the headers
+// that concern one connection or are the router's own.
 func (c *call) buildRequest(to route.Endpoint, lastEvent string) *fasthttp.Request {
 	out := fasthttp.AcquireRequest()
 	c.http.Request.Header.CopyTo(&out.Header)
@@ -106,12 +105,12 @@
 	return out
 }
 
-// declinedError reports that the endpoint proved that it ran nothing.
+// declinedError reports that the endpoint proved that it did not run the request.
 type declinedError struct {
 	status int
 }
 
-// Error names the status.
+// Error returns a message with the status.
 func (e *declinedError) Error() string {
 	return "the endpoint declined with status " + strconv.Itoa(e.status)
 }
@@ -121,11 +120,11 @@
 	reason string
 }
 
-// Error says why.
+// Error returns the reason.
 func (e *unusableError) Error() string { return e.reason }
 
-// next decides what follows a failed attempt: nil for another one, or the final
-// answer. The attempt is settled.
+// handleFailure records the outcome of a failed attempt and decides what follows: nil for
+// another attempt, or the final answer.
 func (c *call) handleFailure(to destination, err error) *request.Refusal {
 	how, retry := c.classifyFailure(to, err)
 	to.finish(how)
@@ -165,12 +164,12 @@
 	}
 }
 
-// mostUnreachable bounds the endpoints that are tried in vain for a connection, or that
-// get nothing any more when it stands.
+// maxUnreachable bounds the endpoints of one request that could not be connected to, or that
+// were no longer admitted once the connection was open.
 const maxUnreachable = 3
 
-// judge tells what a failure says of the endpoint, and whether the request may
-// go to another one.
+// classifyFailure returns what a failure says about the endpoint, and whether the request may
+// be sent to another one.
 func (c *call) classifyFailure(to destination, err error) (how outcome, retry bool) {
 	var unreached *endpoint.DialError
 	var declined *declinedError
@@ -188,13 +187,13 @@
 	case errors.As(err, &declined):
 		return outcomeFull, c.reserveRetry()
 	default:
-		// What ended the endpoint is known before it may be sent again.
+		// This is recorded first: it decides whether the request may be sent again.
 		how = c.classifyBroken(to, err)
 		return how, c.route.Repeatable && c.reserveRetry()
 	}
 }
 
-// mayRepeat books another attempt, if the route and the budget allow it.
+// reserveRetry reserves another attempt, if the route and the retry budget allow it.
 func (c *call) reserveRetry() bool {
 	if c.life.Attempts() >= c.route.MaxAttempts || c.remaining() < minRetryTime {
 		return false
@@ -209,13 +208,13 @@
 	}
 	c.reserved = reserved
 	if c.life.State() >= request.Sending {
-		// Only what may be repeated, or is proved not run, comes here.
+		// Only requests that may be repeated, or that provably did not run, get here.
 		_ = c.life.Return(c.route.Repeatable)
 	}
 	return true
 }
 
-// unbook gives a repeated send back that is not made, as no endpoint takes the request.
+// releaseRetry returns a reserved retry that is not sent, as no endpoint takes the request.
 func (c *call) releaseRetry() {
 	if c.reserved != (reservation{}) {
 		c.gateway.budget.refund(c.service.Name, c.reserved)
@@ -223,17 +222,17 @@
 	}
 }
 
-// leastTime is the time without which another attempt is of no use.
+// minRetryTime is the remaining time below which another attempt is of no use.
 const minRetryTime = 20 * time.Millisecond
 
-// comeBackAfterFailure is when an endpoint that failed is likely to be left out,
-// spread so that callers do not return together.
+// failureRetryDelay is the Retry-After of a request that failed: by then the failing endpoint
+// is likely to be excluded. It is spread so that callers do not return all at once.
 func failureRetryDelay() time.Duration {
 	return 200*time.Millisecond + rand.N(200*time.Millisecond)
 }
 
-// ended is the final answer when the deadline, the route's time limit, the
-// caller or a stop ended the request.
+// endedRefusal is the final answer to a request that was ended by its deadline, the route's
+// time limit, its caller or a planned stop.
 func (c *call) endedRefusal() *request.Refusal {
 	cause := context.Cause(c.ctx)
 	switch {
--- a/pkg/gateway/attempts.go
+++ b/pkg/gateway/attempts.go
@@ -9,16 +9,16 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errRestarted ends an attempt whose endpoint has started again: no answer to it comes.
-var errRestarted = errors.New("the endpoint has started again since")
+// errRestarted ends an attempt whose endpoint has restarted: it will not answer any more.
+var errRestarted = errors.New("the endpoint has restarted")
 
-// errTakenBack ends an attempt of which nothing was sent, as its endpoint has meanwhile
-// become one that gets nothing.
-var errNotAdmitted = errors.New("the endpoint gets nothing any more")
+// errNotAdmitted ends an attempt before anything was sent, as the chosen endpoint no longer
+// admits requests.
+var errNotAdmitted = errors.New("the endpoint no longer admits requests")
 
-// lives are the attempts under way, so that those at an endpoint that starts again can be
-// ended. Without it a stream at an engine that came back behind a cut waited for its
-// caller's patience, seconds long.
+// activeAttempts are the attempts in progress, so that those at an endpoint that restarts can
+// be ended. Without this, a stream at an engine that restarted behind a network partition
+// waited for its caller's timeout, several seconds.
 type activeAttempts struct {
 	mu       sync.Mutex
 	attempts map[*guard]struct{}
@@ -39,29 +39,29 @@
 	delete(l.attempts, g)
 }
 
-// end ends the attempts at endpoints that have started again by a directory. Those that
-// are gone from it may still answer what they have.
+// cancelRestarted cancels the attempts at endpoints that have restarted according to the
+// directory. Endpoints that are gone from it may still finish their answers.
 func (l *activeAttempts) cancelRestarted(directory *route.Directory) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for attempt := range l.attempts {
-		now, known := directory.Find(attempt.endpoint.ID)
-		if known && now.Supersedes(&attempt.endpoint.Facts) {
+		current, known := directory.Find(attempt.endpoint.ID)
+		if known && current.Supersedes(&attempt.endpoint.Facts) {
 			attempt.cancel(errRestarted)
 		}
 	}
 }
 
-// admits tells whether a request may still be sent to the endpoint that was chosen for it.
-// It is asked by everything that sends to endpoints, just before the first byte leaves, and
-// by what this box knows itself: a box that grants may not know the word of the endpoint to
-// this one, and that holds whoever grants.
+// admits reports whether a request may still be sent to the endpoint chosen for it. Every
+// sender calls it just before the first byte is sent. It uses what this box itself knows,
+// whichever box made the grant: the dispatcher may not know that the endpoint asked this box
+// for rest.
 func (g *Gateway) admits(chosen *route.Endpoint) bool {
-	now, known := g.registry.Directory().Find(chosen.ID)
-	return known && now.Admits() && !now.Renews(chosen) && !g.rests.isResting(chosen, time.Now()) && !g.rollouts.forbids(chosen)
+	current, known := g.registry.Directory().Find(chosen.ID)
+	return known && current.Admits() && !current.Renews(chosen) && !g.rests.isResting(chosen, time.Now()) && !g.rollouts.forbids(chosen)
 }
 
-// others counts the attempts under way at endpoints of a service, but for those of a version.
+// countOtherReleases counts the attempts at endpoints of a service that run another release.
 func (l *activeAttempts) countOtherReleases(service, release string) (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,8 @@
 	return count
 }
 
-// running are the endpoints at which attempts with a fingerprint are under way.
+// endpointsRunning returns the IDs of the endpoints at which attempts with a fingerprint are
+// in progress.
 func (l *activeAttempts) endpointsRunning(f quarantine.Fingerprint) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/gateway/budget.go
+++ b/pkg/gateway/budget.go
@@ -6,34 +6,33 @@
 	"time"
 )
 
-// retryBudget is this box's part of the fleet's budget of repeated sends. It
-// needs no word from the others: each box earns by its own requests, and has an
-// even part of what is extra.
+// retryBudget is this box's share of the fleet's retry budget. Boxes need not coordinate: each
+// earns retries by its own requests, and has an equal share of the extra ones.
 type retryBudget struct {
 	settings Settings
 	peers    func() int
-	// lot is drawn at the start, between 0 and 1.
+	// randomDraw is drawn at the start, between 0 and 1.
 	randomDraw float64
 
 	mu       sync.Mutex
 	services map[string]*allowance
 }
 
-// allowance is what one service's requests may be sent again.
+// allowance holds the retries that are left for one service.
 type allowance struct {
-	// earned comes from this box's requests, and fades with the window.
+	// earned is earned by this box's requests, and decays over the window.
 	earned float64
-	// extra is this box's part of the fleet's.
+	// extra is what is left of this box's share of the fleet's extra retries.
 	extra     float64
 	updatedAt time.Time
 }
 
-// budgetPart of what the fleet may spend is used: requests are counted at
-// other moments here than where the budget is checked, and a box may be gone
-// whose spending still counts.
+// usableFraction is the fraction of the fleet's budget that is used: requests are counted here
+// at other moments than where the budget is checked, and the retries of a box that is gone
+// still count.
 const usableFraction = 0.5
 
-// earn notes a request for a service.
+// earn records a request for a service.
 func (b *retryBudget) earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -41,13 +40,13 @@
 	a.earned += b.settings.RetryRatio * usableFraction
 }
 
-// booking is one repeated send, by the parts of an allowance that it was taken from; the zero
-// value is none.
+// reservation is one reserved retry, split by the balances it was taken from. The zero value
+// is none.
 type reservation struct {
 	earned, extra float64
 }
 
-// take books one repeated send; false means that there is nothing left.
+// take reserves one retry. It reports false if the budget is spent.
 func (b *retryBudget) take(service string) (taken reservation, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,8 +61,8 @@
 	return taken, true
 }
 
-// giveBack takes back a booking of which nothing was sent, to where it came from: the extra
-// comes again with each window and must not be saved up as earned.
+// refund returns an unsent retry to the balances it was taken from: the extra is refilled with
+// each window and must not be saved up as earned.
 func (b *retryBudget) refund(service string, unsent reservation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,16 +73,16 @@
 
 func (a *allowance) available() float64 { return a.earned + a.extra }
 
-// has tells whether a repeated send could be booked now.
+// canTake reports whether a retry could be reserved now.
 func (b *retryBudget) canTake(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.allowanceOf(service).available() >= 1
 }
 
-// most is what may be saved up of the extra: this box's even part. Where that is
-// less than one send, as many boxes as the extra has sends may have one each,
-// drawn by lot: parts of a send would add up to more than the fleet's.
+// maxExtra is the most extra retries that can accumulate: this box's equal share. If that is
+// less than one, as many boxes as there are extra retries may have one each, chosen at random:
+// if every box kept a fraction, they would add up to more than the fleet's budget.
 func (b *retryBudget) maxExtra() float64 {
 	fraction := b.settings.RetryExtra * usableFraction / float64(b.peers()+1)
 	if fraction >= 1 {
@@ -107,7 +106,7 @@
 	}
 	windows := now.Sub(a.updatedAt).Seconds() / b.settings.RetryWindow.Seconds()
 	a.earned *= math.Exp(-windows)
-	// The extra comes again with each window.
+	// The extra is refilled with each window.
 	a.extra = min(a.extra+b.maxExtra()*windows, b.maxExtra())
 	a.updatedAt = now
 	return a
--- a/pkg/gateway/budget_test.go
+++ b/pkg/gateway/budget_test.go
@@ -9,10 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRetryBudgetHoldsForTheFleet lets the boxes of a fleet ask for repeated sends
-// as often as they like, and give a part of them back unsent. In no window may more be sent
-// than the users' rule has for the whole fleet, although the boxes tell each other nothing of
-// it.
+// TestRetryBudgetHoldsForTheFleet has the boxes of a fleet take retries as often as they like
+// and refund a fraction of them unsent. In no window may more be sent than the budget allows
+// the whole fleet, although the boxes do not coordinate.
 func TestRetryBudgetHoldsForTheFleet(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		boxes := rapid.IntRange(1, 300).Draw(r, "boxes")
@@ -27,7 +26,7 @@
 func checkBudget(t *rapid.T, boxes int, steps []int, greedy int) {
 	const step = 250 * time.Millisecond
 	settings := Settings{RetryRatio: 0.2, RetryExtra: 58, RetryWindow: 10 * time.Second}
-	// Boxes draw their lots independently; rapid would also draw all of them alike.
+	// Boxes draw independently; rapid would also generate cases in which all draw alike.
 	draws := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "lots")))
 	fleet := make([]*retryBudget, boxes)
 	for i := range fleet {
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -18,7 +18,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// The reasons for which a request ends before its answer.
+// The causes for which a request ends before its answer.
 var (
 	errCallerGone   = errors.New("the caller went away")
 	errDeadline     = errors.New("the caller's deadline passed")
@@ -31,37 +31,38 @@
 	http    *fasthttp.RequestCtx
 	RequestInfo
 	arrived time.Time
-	// deadline is when the answer is of no use any more, to the caller or by the
-	// route's time limit, but for suspensions: when it came, they added up to suspended.
+	// deadline is when the answer is of no more use, by the caller's timeout or the route's.
+	// Suspensions of the machine extend it: suspendedTotal is their total when the request
+	// arrived.
 	deadline       time.Time
 	suspendedTotal time.Duration
-	// late is the reason that the deadline gives.
+	// deadlineCause is the cause with which the deadline ends the request.
 	deadlineCause error
 	route         *route.Route
 	service       route.Service
 	customer      string
-	// fingerprint is what repeats of the request have in common, and end the account of
-	// the last endpoint that ended under it.
+	// fingerprint identifies repeats of the request, and end records the last endpoint that
+	// ended while it ran the request.
 	fingerprint quarantine.Fingerprint
 	end         quarantine.End
-	// zones are the availability zones in which it may be served; none means any.
+	// zones are the availability zones in which the request may be served; empty means any.
 	zones []string
 	life  request.Life
 
-	// ctx ends with the deadline, or when the caller goes away.
+	// ctx ends with the deadline, or when the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// watcher waits for the caller's close.
+	// watcher waits until the caller closes the connection.
 	watcher errgroup.Group
-	// excluded are the endpoints that failed this request.
+	// excluded are the IDs of the endpoints that failed this request.
 	excluded []string
-	// unreachable counts endpoints that took no connection.
+	// unreachable counts the endpoints that accepted no connection.
 	unreachable int
-	// booked is a repeated send that was booked and is not made yet, if any.
+	// reserved is a retry that was reserved and not yet sent, if any.
 	reserved reservation
 	// guard ends the current attempt if it stalls.
 	guard *guard
-	// streaming is set once the answer's stream has the call; it then ends it.
+	// streaming is set once the answer's stream owns the call; the stream then finishes it.
 	streaming bool
 }
 
@@ -81,8 +82,8 @@
 	}
 }
 
-// truthful replaces a refusal that promises that nothing was run, where an
-// earlier attempt may have run.
+// withEarlierAttempts replaces a refusal that promises that nothing was run, if an earlier
+// attempt may have run.
 func (c *call) withEarlierAttempts(refusal *request.Refusal) *request.Refusal {
 	if refusal.Run != request.NotRun || c.life.Run() == request.NotRun {
 		return refusal
@@ -94,7 +95,7 @@
 	}
 }
 
-// finish ends the watch over the caller's connection.
+// finish stops watching the caller's connection and releases what the request holds.
 func (c *call) finish() {
 	defer c.gateway.inFlight.Add(-1)
 	if c.cancel == nil {
@@ -104,13 +105,13 @@
 	c.gateway.suspensions.remove(c)
 	c.cancel(nil)
 	conn := c.http.Conn()
-	// The watcher has to be gone before the connection is read again.
+	// The watcher must have returned before the connection is read again.
 	_ = conn.SetReadDeadline(time.Unix(1, 0))
 	_ = c.watcher.Wait()
 	_ = conn.SetReadDeadline(time.Time{})
 }
 
-// run finds out what a request is, and has it served.
+// run identifies the request's route, customer and service, and serves it.
 func (c *call) run() (refusal *request.Refusal) {
 	catalog := c.gateway.registry.Catalog()
 	if catalog == nil || c.gateway.registry.Directory() == nil {
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// pathOf is the path of a request target, without the query.
+// pathOf returns the path of a request target, without the query.
 func pathOf(target string) string {
 	for i := range len(target) {
 		if target[i] == '?' {
@@ -191,7 +192,7 @@
 	return target
 }
 
-// watch sets the request's deadline, and has the caller's close end it.
+// watch sets the request's deadline and cancels the request when the caller disconnects.
 func (c *call) watch() {
 	cause := errDeadline
 	wait := c.Timeout
@@ -220,12 +221,12 @@
 	})
 }
 
-// left is the time in which the answer is of use.
+// remaining is the time in which an answer is still of use.
 func (c *call) remaining() time.Duration {
 	return time.Until(c.deadline) - (c.gateway.suspensions.Noticed() - c.suspendedTotal)
 }
 
-// endAfter ends the request after a time, where it goes on for so long.
+// endAfter ends the request after a time, if it is still in progress.
 func (c *call) endAfter(length time.Duration) {
 	time.AfterFunc(length, func() { c.cancel(c.deadlineCause) })
 }
@@ -234,7 +235,7 @@
 	return c.gateway.Logs.For(logflags.Caller)
 }
 
-// refuse writes a final answer of our own.
+// refuse writes a final answer of the router itself.
 func (c *call) refuse(refusal *request.Refusal) {
 	c.gateway.Metrics.Refused(string(refusal.Code))
 	routeName := ""
@@ -262,7 +263,7 @@
 	}
 }
 
-// refuseMalformed answers what is no HTTP request within the limits.
+// refuseMalformed answers input that is not an HTTP request within the limits.
 func (g *Gateway) refuseMalformed(http *fasthttp.RequestCtx, err error) {
 	g.Logs.For(logflags.Caller).Info("malformed request", zap.Error(err))
 	refusal := notRun(request.InvalidRequest, "the request is malformed, too large or too slow", 0)
@@ -270,7 +271,7 @@
 	http.SetConnectionClose()
 }
 
-// passHead starts the caller's answer with the endpoint's status and headers.
+// forwardHead starts the caller's answer with the endpoint's status and headers.
 func (c *call) forwardHead(reply *endpoint.Reply) {
 	response := &c.http.Response
 	reply.Head.CopyTo(&response.Header)
@@ -279,7 +280,7 @@
 	c.gateway.Translator.StripConnectionHeaders(&response.Header)
 }
 
-// logEndpointError tells of a final answer that is an endpoint's own error.
+// logEndpointError logs a final answer that is an endpoint's own error.
 func (c *call) logEndpointError(to destination, status int) {
 	if status < fasthttp.StatusInternalServerError {
 		return
@@ -294,8 +295,8 @@
 		zap.Duration("Age", time.Since(c.arrived)))
 }
 
-// passWhole passes on an answer that is read whole before any of it is sent, so
-// that a cut one can still be told as failed.
+// forwardWhole forwards an answer that is read whole before any of it is sent, so that a
+// truncated one can still be reported as failed.
 func (c *call) forwardWhole(reply *endpoint.Reply) error {
 	body, err := reply.Whole(maxAnswerBytes)
 	if err != nil {
--- a/pkg/gateway/cold.go
+++ b/pkg/gateway/cold.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// coldSettled is how long a box has to have asked this one before it counts: by then
-	// nothing counts any more that was sent by the word of the box that it asked before.
+	// minAskerAge is how long a box must have sent its requests to this one before it counts
+	// as an asker. By then, what was sent by grants of its previous dispatcher is out of the
+	// window in which requests to a cold endpoint count.
 	minAskerAge = 1150 * time.Millisecond
-	// coldPartFor is how long a part holds before it is counted anew.
+	// coldFractionTTL is how long a computed fraction is used.
 	coldFractionTTL = 50 * time.Millisecond
-	// lostRecently is how long a lost box still counts as one that may dispatch, or ask one
-	// that does: a box that is cut off from the others, and not from the engines, sees all
-	// of them lost.
+	// lostMemberTTL is how long a lost box still counts as one that may dispatch or ask a
+	// dispatcher: a box that is cut off from the others but not from the engines sees all of
+	// them lost.
 	lostMemberTTL = 10 * time.Second
-	// coldSenders is the number of boxes that send to a cold plain endpoint, an even part
-	// of its bound each: few enough for a part of some requests a second, and enough that
-	// some are left when boxes go.
+	// coldSenderCount is the number of boxes that send to a cold plain endpoint, each with an
+	// equal share of its bound: few enough for a share of some requests a second, and enough
+	// that some remain when boxes go.
 	coldSenderCount = 4
-	// coldChosen is how long a box has to be one of them before it sends: news crosses
-	// 300 boxes in a quarter of a second, and one that was chosen before may have sent
-	// until then.
+	// coldSenderDelay is how long a box has to be one of them before it sends: a change
+	// reaches 300 boxes within a quarter of a second, and a box that was chosen before may
+	// have sent until then.
 	coldSenderDelay = 1500 * time.Millisecond
-	// coldLook is the time between two choices.
+	// coldSenderInterval is the time between two choices of the senders.
 	coldSenderInterval = 250 * time.Millisecond
 )
 
-// coldPart is a counted part of what cold engines take.
+// coldFraction is a computed fraction of the bounds of cold engines.
 type coldFraction struct {
 	fraction float64
 	until    time.Time
 }
 
-// coldPart is the part of what cold engines take that this box may use: that of the boxes
-// that ask it, itself included, of all boxes. As each asks one box at a time, the parts of
-// all add up to 1 at most. With all of it for each box that dispatches, two that did so at
-// once sent a cold engine twice its bound. The lock is held.
+// coldFraction returns the fraction of the bounds of cold engines that this box may use: the
+// number of boxes that ask it, itself included, divided by that of all boxes. As each box asks
+// one dispatcher at a time, the fractions of all dispatchers add up to 1 at most. When each
+// dispatcher used the whole bound, two at the same time sent a cold engine twice its bound.
+// The lock is held.
 func (s *scheduler) coldFraction(now time.Time) float64 {
 	if now.Before(s.cold.until) {
 		return s.cold.fraction
@@ -60,21 +62,20 @@
 	if s.remote == nil && now.Sub(s.aloneSince) >= minAskerAge {
 		asking[s.gateway.Settings.Name] = true
 	}
-	fleet := s.gateway.fleet.CountRecent(now, lostMemberTTL) + 1
-	s.cold = coldFraction{fraction: min(1, float64(len(asking))/float64(fleet)), until: now.Add(coldFractionTTL)}
+	fleetSize := s.gateway.fleet.CountRecent(now, lostMemberTTL) + 1
+	s.cold = coldFraction{fraction: min(1, float64(len(asking))/float64(fleetSize)), until: now.Add(coldFractionTTL)}
 	return s.cold.fraction
 }
 
-// coldChoice remembers for which endpoints this box is one of those that send while they
-// are cold.
+// coldSenders records for which plain endpoints this box is one of the senders while they are
+// cold.
 type coldSenders struct {
 	mu sync.Mutex
-	// since is when it became one, by endpoint.
+	// since is when this box became a sender, by endpoint.
 	since map[string]time.Time
 }
 
-// choose brings that up to date for some endpoints and the boxes that are alive, of which
-// own is this one.
+// update chooses anew for the given endpoints among the boxes that are alive; own is this box.
 func (c *coldSenders) update(endpoints, boxes []string, own string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	c.since = since
 }
 
-// part is what this box may use of an endpoint's bound.
+// fraction is the fraction of an endpoint's bound that this box may use.
 func (c *coldSenders) fraction(endpoint string, now time.Time) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,12 +103,12 @@
 	return 1.0 / coldSenderCount
 }
 
-// coldSendersOf are the boxes that rank first for an endpoint.
+// coldSendersOf returns the boxes that rank first for an endpoint.
 func coldSendersOf(endpoint string, boxes []string) []string {
 	return topRankedBoxes(endpoint, boxes, coldSenderCount)
 }
 
-// firstBoxes are those that rank first for a name, by rendezvous hash.
+// topRankedBoxes returns the boxes that rank first for a name, by rendezvous hashing.
 func topRankedBoxes(name string, boxes []string, count int) []string {
 	key := xxhash.Sum64String(name)
 	ranked := slices.Clone(boxes)
@@ -117,8 +118,8 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// chooseColdSenders finds for which plain endpoints with a bound this box sends while they
-// are cold.
+// updateColdSenders determines for which bounded plain endpoints this box is a sender while
+// they are cold.
 func (g *Gateway) updateColdSenders() {
 	catalog := g.registry.Catalog()
 	if catalog == nil {
--- a/pkg/gateway/endpoints.go
+++ b/pkg/gateway/endpoints.go
@@ -9,7 +9,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// changed brings the pools in line with a new catalog or directory.
+// applyChanges applies a new catalog or directory to the pools.
 func (g *Gateway) applyChanges() {
 	g.announceState()
 	g.rollouts.follow(g.registry.Orders())
@@ -45,8 +45,8 @@
 	}
 }
 
-// learnPlain has what changed of a plain service's endpoints judged, or all of them where the
-// configuration is another one.
+// updatePlain updates the health of a plain service's endpoints that changed, or of all if the
+// configuration changed.
 func (g *Gateway) updatePlain(service route.Service, directory *route.Directory, changes []route.Change, renewed bool) {
 	bound := service.Cold.Bound(g.Settings.ColdFactor, g.Settings.ColdExtra)
 	now := time.Now()
@@ -67,8 +67,8 @@
 	}
 }
 
-// closeConnections closes idle connections to an endpoint that is gone, or of an earlier start
-// than the one known now: what is sent on them is lost. The lock is held.
+// closeConnections closes idle connections to an endpoint that is gone, or whose earlier
+// instance they were opened to: what is sent on them would be lost. The lock is held.
 func (g *Gateway) closeConnections(change *route.Change) {
 	before, after := change.Before, change.After
 	if before == nil || (after != nil && after.Address == before.Address && !after.Supersedes(&before.Facts)) {
@@ -80,14 +80,14 @@
 	}
 }
 
-// pool returns the one of a service; nil where it has no engines.
+// pool returns the pool of a service; nil if the service has no engines.
 func (g *Gateway) pool(service string) *pool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pools[service]
 }
 
-// client returns the connections to an address.
+// client returns the client for an address.
 func (g *Gateway) client(address string) *endpoint.Client {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -104,9 +104,9 @@
 }
 
 const (
-	// sweepInterval is the time between two looks for connections idle too long.
+	// sweepInterval is the time between two sweeps for connections idle for too long.
 	sweepInterval = 2 * time.Second
-	// clientUnused is how long an endpoint is not used before its client is dropped.
+	// clientTTL is how long an endpoint must be unused before its client is dropped.
 	clientTTL = 30 * time.Second
 )
 
--- a/pkg/gateway/fetcher.go
+++ b/pkg/gateway/fetcher.go
@@ -2,23 +2,22 @@
 
 import "sync"
 
-// fetcher takes from other boxes what they know more of, one fetch at a time. Many
-// boxes tell of a new version within milliseconds; with a fetch from each of them, a
-// fleet of 100 boxes and 1,000 endpoints sent 250 kB a second of each box.
+// fetcher fetches newer versions from other boxes, one fetch at a time. Many boxes announce a
+// new version within milliseconds; with a fetch from each of them, every box of a fleet of 100
+// boxes and 1,000 endpoints sent 250 kB a second.
 type fetcher struct {
-	// known is the version that this box has.
+	// localVersion returns the version that this box has.
 	localVersion func() uint64
-	// fetch takes a version from a box.
+	// fetch fetches a version from a box.
 	fetch func(from string, version uint64)
 
 	mu      sync.Mutex
 	running bool
-	// sources are the boxes that told of higher versions, and which, since the
-	// fetches began.
+	// sources are the versions announced since fetching began, by box.
 	sources map[string]uint64
 }
 
-// told notes that a box has a version. It reports whether run has to be started.
+// addSource records that a box has a version. It reports whether run has to be started.
 func (f *fetcher) addSource(from string, version uint64) (start bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,8 +30,8 @@
 	return start
 }
 
-// run fetches until no box that told is ahead. A box from which a fetch fails is asked
-// again when it tells again.
+// run fetches until no source is ahead. A box from which a fetch failed is asked again only
+// when it announces a version again.
 func (f *fetcher) run() error {
 	for {
 		from, version := f.nextSource()
@@ -43,7 +42,7 @@
 	}
 }
 
-// next is the box with the highest version among those that are ahead.
+// nextSource returns the box with the highest version among those that are ahead.
 func (f *fetcher) nextSource() (from string, version uint64) {
 	known := f.localVersion()
 	f.mu.Lock()
--- a/pkg/gateway/fetcher_test.go
+++ b/pkg/gateway/fetcher_test.go
@@ -9,17 +9,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// TestFetcher has many boxes tell of a version at once.
+// TestFetcher announces a version from several boxes at once.
 func TestFetcher(t *testing.T) {
 	type scenario struct {
-		// failing sources give nothing.
+		// Fetches from failing boxes give nothing.
 		failing map[string]bool
 		asked   int
 	}
 	for name, p := range map[string]*scenario{
-		"One fetch is made for what many boxes tell":                        {asked: 1},
-		"Where the first box fails, another one is asked, and only then":    {failing: map[string]bool{"box-8": true}, asked: 2},
-		"Boxes that all fail are asked once each, until they tell it again": {failing: map[string]bool{"box-7": true, "box-8": true, "box-9": true}, asked: 3},
+		"One fetch is made for a version that many boxes announce":                   {asked: 1},
+		"If the fetch from the first box fails, another box is asked, and only then": {failing: map[string]bool{"box-8": true}, asked: 2},
+		"Boxes that all fail are asked once each, until they announce it again":      {failing: map[string]bool{"box-7": true, "box-8": true, "box-9": true}, asked: 3},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(name, t, func() {
@@ -33,7 +33,7 @@
 					}
 				}
 				group := errgroup.Group{}
-				// The highest version is asked for first.
+				// The highest version is fetched first.
 				for version, box := range map[uint64]string{7: "box-7", 9: "box-8", 8: "box-9"} {
 					if len(p.failing) == 0 {
 						version = 9
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -34,7 +34,8 @@
 	Store      registry.Store
 	Logs       logflags.Logs
 	Metrics    *Metrics
-	// Suspended is how long the machine has been suspended in all; nil asks the system.
+	// Suspended returns the total time that the machine has been suspended; nil reads it from
+	// the system.
 	Suspended func() (time.Duration, error)
 
 	log         *zap.Logger
@@ -42,41 +43,41 @@
 	registry    *registry.Registry
 	exchange    *peer.Exchange
 	fleet       *membership.View
-	// catalogs, directories and orders fetch what other boxes know more of.
+	// catalogs, directories and orders fetch newer versions from other boxes.
 	catalogs, directories, orders fetcher
-	// contactsWake has the contacts chosen anew. Capacity 1.
+	// contactsWake triggers a new choice of the contacts. It has a capacity of 1.
 	contactsWake chan struct{}
 	budget       *retryBudget
 	health       *health
-	// ledger tells under which requests endpoints ended, and supposed which of these ends
-	// may prove wrong.
+	// ledger records under which requests endpoints ended, and unconfirmed which of these
+	// ends may prove wrong.
 	ledger      quarantine.Ledger
 	unconfirmed unconfirmedEnds
-	// waking notices suspensions of the machine.
+	// suspensions detects suspensions of the machine.
 	suspensions suspensionTracker
-	// lives are the attempts under way, and coldSends the plain endpoints that this box
-	// sends to while they are cold.
+	// attempts are those in progress, and coldSenders the plain endpoints that this box sends
+	// to while they are cold.
 	attempts    activeAttempts
 	coldSenders coldSenders
-	// rests are until when endpoints want nothing from this box.
+	// rests are the times until which endpoints asked this box to send them nothing.
 	rests rests
 	// rollouts move services to other versions of their endpoints.
 	rollouts rollouts
-	// catalog is the last one that the pools were brought in line with.
+	// catalog is the last one applied to the pools.
 	catalog *route.Catalog
 	load    load
-	// work runs what serves callers; it outlives the order to stop.
+	// work runs what serves callers; it continues after the context of Run has ended.
 	work *errgroup.Group
-	// over ends what is still in flight when the time to stop is up.
+	// workContext ends what is still in progress when the time for a planned stop is up.
 	workContext context.Context
 	cancelWork  context.CancelCauseFunc
 	stopping    atomic.Bool
-	// refusingStreams and refusing are set in the later parts of a planned stop:
-	// new streams, which may take longer than what is left, are refused first.
+	// refusingStreams and refusing are set in the later phases of a planned stop: new
+	// streams, which may take longer than the time left, are refused first.
 	refusingStreams, refusing atomic.Bool
 	startedAt                 time.Time
-	// arrivedAfter is when the last request came, as the time after startedAt: the
-	// time of day may jump.
+	// lastArrival is when the last request arrived, as a duration since startedAt: the wall
+	// clock may jump.
 	lastArrival atomic.Int64
 	inFlight    atomic.Int64
 
@@ -85,10 +86,10 @@
 	clients map[string]*endpoint.Client
 }
 
-// errStopTime ends requests that outlast a planned stop.
+// errStopTimeout ends requests that outlast a planned stop.
 var errStopTimeout = errors.New("the time for the planned stop is up")
 
-// Run serves until the context ends, and then stops as planned.
+// Run serves until the context ends, and then performs a planned stop.
 func (g *Gateway) Run(ctx context.Context) (err error) {
 	defer func() { err = trace.Wrap(err, "running box %s", g.Settings.Name) }()
 	g.prepare()
@@ -148,7 +149,8 @@
 	return group.Wait()
 }
 
-// limitMemory has the runtime collect garbage in time on a small box.
+// limitMemory sets the runtime's soft memory limit, so that garbage is collected in time on a
+// small box.
 func (g *Gateway) limitMemory() {
 	if g.Settings.MaxMemory > 0 {
 		debug.SetMemoryLimit(int64(float64(g.Settings.MaxMemory) * runtimeMemoryShare))
@@ -220,7 +222,7 @@
 	g.budget = &retryBudget{settings: g.Settings, peers: g.fleet.CountLive, randomDraw: rand.Float64()}
 }
 
-// peerSettings are this box's in the terms of the exchange between boxes.
+// peerSettings returns this box's settings in the form that the peer exchange takes.
 func (g *Gateway) peerSettings() settings.Box {
 	own := settings.DefaultBox()
 	own.Name = g.Settings.Name
@@ -255,7 +257,8 @@
 	return retryingListener{Listener: listener, log: g.log}, nil
 }
 
-// callerServer passes paths and header names on as they were sent.
+// callerServer returns the server for callers. It leaves paths and header names as they were
+// sent.
 func (g *Gateway) callerServer() *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:                       g.serve,
@@ -277,7 +280,7 @@
 	}
 }
 
-// quietLogger passes the library's own words on at the debug level.
+// debugLogger passes the library's messages on at the debug level.
 type debugLogger struct {
 	log *zap.Logger
 }
@@ -305,12 +308,12 @@
 	}
 }
 
-// ready tells whether new connections of callers are welcome.
+// isReady reports whether this box accepts new connections of callers.
 func (g *Gateway) isReady() bool {
 	return !g.stopping.Load() && !g.suspensions.refreshing.Load() && !g.load.isBusy(time.Now()) && g.registry.Catalog() != nil && g.registry.Directory() != nil
 }
 
-// overloaded tells of a time in which this box asks for no new callers.
+// reportOverload logs the start of a time in which this box is not ready for new callers.
 func (g *Gateway) reportOverload() {
 	g.log.Warn("overloaded, not ready for a while",
 		zap.Duration("ProcessorWait", g.load.meanDelay()),
@@ -318,10 +321,10 @@
 		zap.Duration("For", minBusyTime))
 }
 
-// stop ends as planned: the box is no longer ready but serves on until the
-// balancer has noticed, and for longer while it still sends callers: it does where
-// too few boxes of a zone are ready. Then the box refuses new streams, and later all
-// that is new, finishes what is in flight, and cuts what is left.
+// stop performs a planned stop. The box is no longer ready, but serves on until the balancer
+// has noticed, and for longer while the balancer still sends callers, as it does if too few
+// boxes of a zone are ready. Then it refuses new streams and later all new requests, finishes
+// what is in progress, and cuts the rest.
 func (g *Gateway) stop(callers *fasthttp.Server) error {
 	began := time.Now()
 	g.stopping.Store(true)
@@ -346,14 +349,14 @@
 }
 
 const (
-	// quietTime is how long no request has to come before a stopping box believes
-	// that the balancer sends none any more: the time between two of its questions.
+	// quietTime is how long no request must have arrived before a stopping box assumes that
+	// the balancer sends no more: the interval of the balancer's checks.
 	quietTime = time.Second
-	// quietLook is the time between two looks whether requests come.
+	// quietCheckInterval is the time between two checks of whether requests arrive.
 	quietCheckInterval = 100 * time.Millisecond
 )
 
-// awaitQuiet waits until no request has come for a while, and not beyond a time.
+// awaitQuiet waits until no request has arrived for quietTime, or until the given time.
 func (g *Gateway) awaitQuiet(until time.Time) {
 	for time.Now().Before(until) {
 		if time.Since(g.startedAt)-time.Duration(g.lastArrival.Load()) > quietTime {
--- a/pkg/gateway/granted.go
+++ b/pkg/gateway/granted.go
@@ -7,34 +7,34 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// running is a granted request of this box.
+// grantedRequest is a request of this box that was granted an endpoint.
 type grantedRequest struct {
 	ask      *dispatch.Request
 	endpoint string
 	begun    bool
 }
 
-// accept notes a grant, also in this box's own pool and at the box that
-// dispatches, so that both know what runs.
-func (s *scheduler) recordGrant(ask *dispatch.Request, v verdict, from *remote) verdict {
+// recordGrant records a grant, also in this box's own pool and at the dispatcher, so that both
+// know what runs.
+func (s *scheduler) recordGrant(req *dispatch.Request, v verdict, from *remote) verdict {
 	if v.endpoint == "" {
 		return v
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running[ask.ID] = &grantedRequest{ask: ask, endpoint: v.endpoint}
-	s.granted.Grant(ask, time.Now())
-	s.poolHistories.grant(ask, time.Now())
+	s.running[req.ID] = &grantedRequest{ask: req, endpoint: v.endpoint}
+	s.granted.Grant(req, time.Now())
+	s.poolHistories.grant(req, time.Now())
 	if from != nil {
-		s.pool.Adopt(ask, v.endpoint, false, time.Now())
+		s.pool.Adopt(req, v.endpoint, false, time.Now())
 	}
 	if from != s.remote && s.remote != nil {
-		s.remote.stream.Send(encodeAsk(ask, v.endpoint, false))
+		s.remote.stream.Send(encodeAsk(req, v.endpoint, false))
 	}
 	return v
 }
 
-// begin notes the first event of a granted request.
+// begin records the first event of a granted request.
 func (s *scheduler) begin(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	s.decide()
 }
 
-// end settles a granted request.
+// end records the outcome of a granted request.
 func (s *scheduler) end(id string, how dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 	delete(s.running, id)
 	if !r.begun {
-		// The same that the box that dispatches takes back.
+		// The dispatcher refunds the same.
 		if _, done := how.(dispatch.Done); !done {
 			s.granted.Refund(r.ask, time.Now())
 			s.poolHistories.refund(r.ask, time.Now())
@@ -76,9 +76,10 @@
 	s.decide()
 }
 
-// noteRest has this box's own pool, and the box that dispatches, grant this box nothing at an
-// engine that asked it for rest. What is granted by boxes that do not know it is handed back:
-// each costs a round of messages, and the same engine is granted next, as it looks idle.
+// recordRest makes this box's own pool, and the dispatcher, grant this box nothing at an
+// engine that asked it for rest. A grant by a dispatcher that does not know of it has to be
+// handed back: that costs a round trip of messages, and the same engine is granted again, as
+// it looks idle.
 func (s *scheduler) recordRest(rest lifecycle.Rest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/gateway/guard.go
+++ b/pkg/gateway/guard.go
@@ -9,37 +9,38 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errStalled ends an attempt whose endpoint says nothing for far too long. Only
-// requests that may be repeated are given up so; they go to another endpoint.
-var errStalled = errors.New("the endpoint said nothing for too long")
+// errStalled ends an attempt whose endpoint sends nothing for too long. Only requests that may
+// be repeated are given up for this; they are sent to another endpoint.
+var errStalled = errors.New("the endpoint sent nothing for too long")
 
-// guard ends an attempt that stalls, or whose endpoint has started again. A nil guard does
+// guard ends an attempt that stalls, or whose endpoint has restarted. A nil guard does
 // nothing.
 type guard struct {
 	attempts    *activeAttempts
 	endpoint    route.Endpoint
 	fingerprint quarantine.Fingerprint
-	// timer is nil for attempts that may take as long as they like.
+	// timer is nil for attempts without a time limit.
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// The silence after which a repeatable request goes elsewhere. It has to be far
-// beyond what a busy endpoint takes, as giving up costs what was done there.
+// The silence after which a repeatable request is sent to another endpoint. It has to be far
+// longer than what a busy endpoint takes, as giving up wastes the work done there.
 const (
-	// plainStallAims is in aims of the route, and plainStallLeast its least.
+	// plainStallFactor times the route's latency target is the timeout of a plain request,
+	// and minPlainStallTimeout its minimum.
 	plainStallFactor     = 3
 	minPlainStallTimeout = 300 * time.Millisecond
-	// firstStall goes beyond the predicted time of a stream's first event.
+	// firstEventMargin is added to the predicted time of a stream's first event.
 	firstEventMargin = 1500 * time.Millisecond
-	// pauseStallAims is in longest pauses that the route aims for, and
-	// pauseStallLeast its least.
+	// pauseStallFactor times the longest pause that the route aims for is the timeout between
+	// two events, and minPauseStallTimeout its minimum.
 	pauseStallFactor     = 3
 	minPauseStallTimeout = time.Second
 )
 
-// guarded returns the context of an attempt. One that stalls is given up only where
-// another one may follow: otherwise an answer that comes late is better than none.
+// guardContext returns the context of an attempt. A stalled attempt is given up only if
+// another one may follow: otherwise a late answer is better than none.
 func (c *call) guardContext(to destination) context.Context {
 	c.guard.stop()
 	ctx, cancel := context.WithCancelCause(c.ctx)
@@ -67,7 +68,7 @@
 	return max(pauseStallFactor*c.route.PauseAim, minPauseStallTimeout)
 }
 
-// extend gives the attempt more time, as something came.
+// extend restarts the timeout, as the endpoint has sent something.
 func (g *guard) extend(length time.Duration) {
 	if g != nil && g.timer != nil {
 		g.timer.Reset(length)
--- a/pkg/gateway/health.go
+++ b/pkg/gateway/health.go
@@ -12,45 +12,45 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// health judges the endpoints of plain services by what callers see of them.
+// health tracks the endpoints of plain services by the outcomes of this box's requests.
 type health struct {
 	log *zap.Logger
-	// coldPart is the part of a cold endpoint's bound that is this box's to use.
+	// coldFraction returns the fraction of a cold endpoint's bound that this box may use.
 	coldFraction func(endpoint string, now time.Time) float64
-	// rests are until when endpoints want nothing from this box.
+	// rests are the times until which endpoints asked this box to send them nothing.
 	rests *rests
 
 	mu     sync.Mutex
 	states map[string]*endpointHealth
 }
 
-// endpointHealth is one endpoint's.
+// endpointHealth is the health of one endpoint.
 type endpointHealth struct {
-	// life says whether and how much may be sent; bound is what it takes while cold.
+	// instance says whether and how much may be sent; bound is its limit while it is cold.
 	instance lifecycle.State
 	bound    lifecycle.Bound
-	// running counts this box's requests there.
+	// inFlight counts this box's requests there.
 	inFlight int
-	// failing is a mean of the outcomes: 0 all well, 1 all failed.
+	// failureRate is a moving average of the outcomes: 0 if all succeeded, 1 if all failed.
 	failureRate float64
-	// took is a mean of the answers' times.
+	// meanLatency is a moving average of the answers' latencies.
 	meanLatency time.Duration
-	// restUntil ends a time without new work.
+	// ejectedUntil is the end of a time without new requests, and ejection its length.
 	ejectedUntil time.Time
 	ejection     time.Duration
 }
 
 const (
-	// healthGain is the weight of the newest outcome.
+	// outcomeWeight is the weight of the newest outcome.
 	outcomeWeight = 0.25
-	// failingMost is the mean of failures above which an endpoint rests: two of
-	// the last few requests.
+	// maxFailureRate is the failure rate from which on an endpoint is ejected: two of the
+	// last few requests failed.
 	maxFailureRate = 0.4
-	// restLeast and restMost bound a rest; it doubles while failures go on.
+	// minEjection and maxEjection bound an ejection; it doubles while failures go on.
 	minEjection = 400 * time.Millisecond
 	maxEjection = 5 * time.Second
-	// failingCost is the time that a request loses on average at an endpoint
-	// that fails all; it weighs failures against slowness.
+	// failureCost is the time that a request loses on average at an endpoint that fails every
+	// request; it weighs failures against latency.
 	failureCost = 500 * time.Millisecond
 )
 
@@ -66,15 +66,16 @@
 	return state
 }
 
-// isEmpty tells whether no endpoint is known.
+// isEmpty reports whether no endpoint is known.
 func (h *health) isEmpty() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.states) == 0
 }
 
-// learn takes a newer account of an endpoint. One that started again is judged anew. First
-// marks that there were none before: they have served others.
+// update applies the latest entry of an endpoint. An endpoint that restarted starts with a new
+// state. first is set if no endpoint was known before: those known first are taken as warm, as
+// they have already served other boxes.
 func (h *health) update(endpoint *route.Endpoint, bound lifecycle.Bound, first bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -90,34 +91,34 @@
 	state.instance.Update(endpoint.Facts, bound, now)
 }
 
-// forget drops an endpoint that is gone.
+// remove drops an endpoint that is gone.
 func (h *health) remove(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.states, id)
 }
 
-// choose picks the endpoint where a request is likely to be answered soonest, of those
-// that take one now. Where all rest after failures, as this box supposes, the one whose rest
-// ends first is used; those that asked for theirs get nothing. It books a request; a state of
-// nil means that there is none.
+// choose picks the endpoint that is likely to answer soonest, of those that can take a request
+// now, and counts the request there. If all were ejected after failures, it picks the one
+// whose ejection ends first; endpoints that asked for rest get nothing. The state is nil if
+// there is no endpoint.
 func (h *health) choose(endpoints []route.Endpoint, excluded []string, zone string) (chosen route.Endpoint, state *endpointHealth) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	best := 0.0
 	for _, candidate := range endpoints {
-		one := h.stateOf(candidate.ID)
-		if slices.Contains(excluded, candidate.ID) || !candidate.Admits() || h.rests.isResting(&candidate, now) || !one.instance.CanSend(one.bound, h.coldFraction(candidate.ID, now), now) {
+		current := h.stateOf(candidate.ID)
+		if slices.Contains(excluded, candidate.ID) || !candidate.Admits() || h.rests.isResting(&candidate, now) || !current.instance.CanSend(current.bound, h.coldFraction(candidate.ID, now), now) {
 			continue
 		}
-		cost := one.cost(now)
+		cost := current.cost(now)
 		if candidate.Zone != zone {
 			cost += crossZoneCost
 		}
 		cost *= 0.9 + 0.2*rand.Float64()
 		if state == nil || cost < best {
-			chosen, best, state = candidate, cost, one
+			chosen, best, state = candidate, cost, current
 		}
 	}
 	if state != nil {
@@ -127,11 +128,12 @@
 	return chosen, state
 }
 
-// zoneCost is added, in milliseconds, for another availability zone: the way
-// there and back, and the price of its bytes.
+// crossZoneCost is added, in milliseconds, for an endpoint in another availability zone: the
+// round trip, and the price of the bytes.
 const crossZoneCost = 2
 
-// cost is the expected time of a request in milliseconds.
+// cost is the expected time of a request in milliseconds. Ejected endpoints cost more than any
+// other.
 func (s *endpointHealth) cost(now time.Time) float64 {
 	const typical = 20 * time.Millisecond
 	took := max(s.meanLatency, typical).Seconds() * 1000
@@ -143,8 +145,8 @@
 	return cost
 }
 
-// finish notes an outcome. Unloaded marks requests that tell nothing of the
-// endpoint, such as those whose caller left.
+// finish records the outcome of a request. Unknown and unused outcomes say nothing about the
+// endpoint; for instance, the caller may have left.
 func (h *health) finish(id string, s *endpointHealth, how outcome, took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -170,7 +172,7 @@
 	if s.failureRate >= maxFailureRate {
 		s.ejection = min(max(minEjection, 2*s.ejection), maxEjection)
 		s.ejectedUntil = time.Now().Add(s.ejection)
-		// It may be back after a new start, before its entry says so.
+		// It may have restarted when it is back, before its entry says so.
 		s.instance.AssumeCold(lifecycle.Returned, s.ejectedUntil.Add(s.bound.Duration))
 		h.log.Info("endpoint rests",
 			zap.String("Endpoint", id),
@@ -179,25 +181,25 @@
 	}
 }
 
-// blames tells whether the endpoint failed the request.
+// isFailure reports whether the endpoint failed the request.
 func (o outcome) isFailure() bool {
 	return o == outcomeFailed || o == outcomeEnded || o == outcomeUnreachable
 }
 
-// outcome is what a request tells of its endpoint.
+// outcome is what a request says about its endpoint.
 type outcome int
 
 const (
 	outcomeUnknown outcome = iota
-	// outcomeUnused: nothing was sent, for no fault of the endpoint.
+	// outcomeUnused: nothing was sent, through no fault of the endpoint.
 	outcomeUnused
 	outcomeGood
-	// outcomeFull: the endpoint refused, and ran nothing.
+	// outcomeFull: the endpoint refused the request and did not run it.
 	outcomeFull
-	// outcomeFailed: an error of its own, a cut or an unusable answer.
+	// outcomeFailed: the endpoint answered with an error, or its answer was cut or unusable.
 	outcomeFailed
 	// outcomeEnded: the endpoint ended while it ran the request.
 	outcomeEnded
-	// outcomeUnreachable: no connection.
+	// outcomeUnreachable: the endpoint could not be connected to.
 	outcomeUnreachable
 )
--- a/pkg/gateway/listener.go
+++ b/pkg/gateway/listener.go
@@ -9,17 +9,17 @@
 	"go.uber.org/zap"
 )
 
-// patientListener goes on after failures that pass: a process without
-// descriptors left, or a connection that ended before it was taken.
+// retryingListener retries after transient errors: a process that has run out of descriptors,
+// or a connection that ended before it was accepted.
 type retryingListener struct {
 	net.Listener
 	log *zap.Logger
 }
 
-// acceptPause is the time after which a failed accept is tried again.
+// acceptRetryDelay is the time after which a failed accept is retried.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Accept returns the next connection, or an error that does not pass.
+// Accept returns the next connection, or an error that is not transient.
 func (l retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
--- a/pkg/gateway/load.go
+++ b/pkg/gateway/load.go
@@ -15,40 +15,40 @@
 	"github.com/quaylead/quaylead/pkg/interval"
 )
 
-// load measures how busy this box is, by how long what comes to it waits for the
-// processor, and decides when the box had better get no new callers. All
-// callers of one large customer may come to one small box.
+// load measures how busy this box is, by how long incoming work waits for the processor, and
+// decides when the box should get no new callers. All callers of one large customer may be
+// connected to one small box.
 type load struct {
-	// delay is a mean of that wait.
+	// delay is a moving average of that wait, in nanoseconds.
 	delay atomic.Int64
 
 	mu sync.Mutex
-	// busyUntil ends a time in which this box asks for no new callers; busySince is
-	// when it began, and zero outside.
+	// busyUntil ends a time in which this box is not ready for new callers; busySince is when
+	// it began, and zero otherwise.
 	busyUntil, busySince time.Time
 }
 
 const (
-	// delayInterval is the time between two looks. Where the processor is a quota,
-	// it is given out by tenths of a second.
+	// probeInterval is the time between two measurements. Where the processor time is limited
+	// by a quota, the quota is refilled each tenth of a second.
 	probeInterval = 250 * time.Millisecond
-	// delayGain is the weight of the newest look.
+	// delayWeight is the weight of the newest measurement.
 	delayWeight = 0.4
-	// delayMost is the mean wait above which a box is overloaded. A request waits
-	// several times on its way, and its aim is several hundred milliseconds.
+	// maxMeanDelay is the mean wait from which on a box is overloaded. A request waits
+	// several times on its way, and its latency target is several hundred milliseconds.
 	maxMeanDelay = 10 * time.Millisecond
-	// longestDelay bounds what one look may say: a box that stood still for a while
-	// is not overloaded yet when it goes on.
+	// maxSample bounds one measurement: a box that was paused for a while is not overloaded
+	// yet when it continues.
 	maxSample = 2 * maxMeanDelay
-	// busyFor is how long an overloaded box is not ready, at least. The balancer
-	// asks each second and believes the second answer; one more second gives it
-	// callers to pass elsewhere.
+	// minBusyTime is how long an overloaded box is at least not ready. The balancer checks
+	// each second and acts on the second answer; one more second lets it move callers
+	// elsewhere.
 	minBusyTime = 3 * time.Second
 )
 
-// measure follows the wait until the context ends, and calls overloaded when a
-// time without new callers begins. It sends itself bytes through a pipe: like all
-// that comes to a box, they have to be noticed and then wait for their turn.
+// measure measures the wait until the context ends, and calls overloaded when a time without
+// new callers begins. The box sends itself bytes through a pipe: like all input, they have to
+// be noticed by the poller and then wait to be scheduled.
 func (l *load) measure(ctx context.Context, overloaded func()) (err error) {
 	defer func() { err = trace.Wrap(err, "measuring the load of this box") }()
 	reader, writer, err := os.Pipe()
@@ -68,7 +68,7 @@
 	return group.Wait()
 }
 
-// probe sends a byte from time to time, and when it did.
+// probe writes a byte at each interval, and sends the time at which it did.
 func probe(ctx context.Context, to io.Writer, sent chan<- time.Time) error {
 	for interval.Wait(ctx, probeInterval) == nil {
 		select {
@@ -84,11 +84,11 @@
 	return nil
 }
 
-// listen notes how long each byte took, until there are no more.
+// receive measures how long each byte took, until the writer closes the pipe.
 func (l *load) receive(from io.Reader, sent <-chan time.Time, overloaded func()) error {
-	one := make([]byte, 1)
+	buffer := make([]byte, 1)
 	for {
-		if _, err := from.Read(one); err != nil {
+		if _, err := from.Read(buffer); err != nil {
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
@@ -102,18 +102,18 @@
 	}
 }
 
-// note takes the wait of one byte.
+// addSample adds the wait of one byte to the average.
 func (l *load) addSample(wait time.Duration) {
 	wait = min(wait, maxSample)
 	before := l.delay.Load()
 	l.delay.Store(before + int64(delayWeight*float64(int64(wait)-before)))
 }
 
-// waited is a mean of the wait for the processor.
+// meanDelay is the mean wait for the processor.
 func (l *load) meanDelay() time.Duration { return time.Duration(l.delay.Load()) }
 
-// judge begins or extends a time without new callers when the box is overloaded.
-// It reports whether one began.
+// update begins or extends a time without new callers if the box is overloaded. It reports
+// whether one began.
 func (l *load) update(now time.Time) (began bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,15 +131,15 @@
 	return began
 }
 
-// busy tells that new callers had better go to another box.
+// isBusy reports whether new callers should go to another box.
 func (l *load) isBusy(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Before(l.busyUntil)
 }
 
-// sheds tells that callers who keep connections had better open new ones: the
-// balancer has noticed by now.
+// isShedding reports whether callers with open connections should open new ones: by now, the
+// balancer sends these to other boxes.
 func (l *load) isShedding(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/gateway/load_test.go
+++ b/pkg/gateway/load_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// work has a box wait for its processor for a time, from the one given.
+// work has a box wait for its processor by the same time in each measurement of a period.
 func work(l *load, from time.Time, length, wait time.Duration) (until time.Time, began bool) {
 	until = from.Add(length)
 	for at := from; at.Before(until); at = at.Add(probeInterval) {
@@ -48,7 +48,7 @@
 		now, _ = work(&l, now, 10*time.Second, well)
 		So(l.isShedding(now), ShouldBeFalse)
 	})
-	Convey("Each byte that a box sends itself is noted, until it stops", t, func() {
+	Convey("Each byte that a box sends itself is measured, until the context ends", t, func() {
 		ctx, stop := context.WithTimeout(t.Context(), 3*probeInterval)
 		defer stop()
 		l := load{}
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -10,43 +10,43 @@
 	"github.com/quaylead/quaylead/pkg/rollout"
 )
 
-// askMessage describes a request that waits or, with an endpoint, runs there.
-func encodeAsk(ask *dispatch.Request, endpoint string, begun bool) *peerpb.Call {
+// encodeAsk encodes a request that waits or, with an endpoint, runs there.
+func encodeAsk(req *dispatch.Request, endpoint string, begun bool) *peerpb.Call {
 	now := time.Now()
 	message := &peerpb.Ask{
-		ID:         ask.ID,
-		Customer:   ask.Customer,
-		Route:      ask.Route,
-		MaxOutput:  uint32(ask.MaxOutput),
-		HintOutput: uint32(ask.HintOutput),
-		Age:        now.Sub(ask.Arrived).Microseconds(),
-		Aim:        ask.LatencyTarget.Microseconds(),
-		Remaining:  ask.Deadline.Sub(now).Microseconds(),
-		Excluded:   ask.Excluded,
+		ID:         req.ID,
+		Customer:   req.Customer,
+		Route:      req.Route,
+		MaxOutput:  uint32(req.MaxOutput),
+		HintOutput: uint32(req.HintOutput),
+		Age:        now.Sub(req.Arrived).Microseconds(),
+		Aim:        req.LatencyTarget.Microseconds(),
+		Remaining:  req.Deadline.Sub(now).Microseconds(),
+		Excluded:   req.Excluded,
 		Endpoint:   endpoint,
 		Begun:      begun,
-		Zones:      ask.Zones,
+		Zones:      req.Zones,
 
-		Release:       ask.Releases.Version,
-		OtherReleases: ask.Releases.Others,
+		Release:       req.Releases.Version,
+		OtherReleases: req.Releases.Others,
 
-		Box:              ask.BoxHash,
-		AskedElsewhere:   uint64(ask.OtherGroupUsage.Requested),
-		GrantedElsewhere: uint64(ask.OtherGroupUsage.Granted),
+		Box:              req.BoxHash,
+		AskedElsewhere:   uint64(req.OtherGroupUsage.Requested),
+		GrantedElsewhere: uint64(req.OtherGroupUsage.Granted),
 	}
-	if !ask.Fingerprint.IsZero() {
-		message.Fingerprint = ask.Fingerprint[:]
+	if !req.Fingerprint.IsZero() {
+		message.Fingerprint = req.Fingerprint[:]
 	}
-	for _, part := range ask.Parts {
+	for _, part := range req.Parts {
 		message.PartIDs = append(message.PartIDs, part.ID)
 		message.PartTokens = append(message.PartTokens, uint32(part.Tokens))
 	}
 	return &peerpb.Call{Kind: &peerpb.Call_Ask{Ask: message}}
 }
 
-// askOf is the reverse of askMessage.
+// decodeAsk is the inverse of encodeAsk.
 func decodeAsk(message *peerpb.Ask, router uint64, now time.Time) *dispatch.Request {
-	ask := &dispatch.Request{
+	req := &dispatch.Request{
 		ID:       message.ID,
 		Customer: message.Customer,
 		Route:    message.Route,
@@ -66,8 +66,8 @@
 		OtherGroupUsage: dispatch.OtherGroupUsage{Requested: float64(message.AskedElsewhere), Granted: float64(message.GrantedElsewhere)},
 		Fingerprint:     peer.DecodeFingerprint(message.Fingerprint),
 	}
-	ask.Parts = decodeParts(message.PartIDs, message.PartTokens)
-	return ask
+	req.Parts = decodeParts(message.PartIDs, message.PartTokens)
+	return req
 }
 
 func decodeParts(ids []uint64, tokens []uint32) (parts []dispatch.Part) {
@@ -96,7 +96,7 @@
 	}}}
 }
 
-// restFrom is the reverse of restMessage.
+// decodeRest is the inverse of encodeRest.
 func decodeRest(message *peerpb.Rest, now time.Time) lifecycle.Rest {
 	length := time.Duration(message.For) * time.Microsecond
 	return lifecycle.Rest{
@@ -159,7 +159,7 @@
 	}
 }
 
-// endedOf is Broken where the account can not be read.
+// decodeEnded returns Broken if the end can not be decoded.
 func decodeEnded(message *peerpb.EndpointEnd) dispatch.Outcome {
 	if message == nil {
 		return dispatch.Broken{}
@@ -185,7 +185,7 @@
 	}
 }
 
-// verdictOf is the reverse of verdictMessage.
+// decodeVerdict is the inverse of encodeVerdict.
 func decodeVerdict(message *peerpb.Verdict) verdict {
 	return verdict{
 		endpoint:         message.Endpoint,
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -17,29 +17,28 @@
 	"github.com/quaylead/quaylead/pkg/registry"
 )
 
-// MetricsPath is where the counters and histograms are read, as one JSON object.
+// MetricsPath is the path of the counters and histograms, as one JSON object.
 const MetricsPath = "/debug/vars"
 
-// Metrics are what one box publishes.
+// Metrics are the metrics that one box publishes.
 type Metrics struct {
 	firstEvent record.Latencies
 	total      record.Latencies
 	refusals   expvar.Map
 	turned     expvar.Map
 	cuts       expvar.Map
-	// granted counts grants, and missing the shared tokens that had to be read
-	// again by them.
+	// granted counts grants, and missing the tokens of shared prompt parts that an engine had
+	// to read again for them.
 	granted expvar.Int
 	missing expvar.Int
-	// rests counts the times that an endpoint asked this box for rest, and handedBack the
-	// endpoints to which nothing was sent in the end, as they had become ones that get
-	// nothing.
+	// rests counts how often an endpoint asked this box for rest, and handedBack the chosen
+	// endpoints to which nothing was sent in the end, as they no longer admitted requests.
 	rests, handedBack expvar.Int
-	// readings counts the readings of all endpoints that were begun, by reason.
+	// readings counts the full reads of the endpoints that were begun, by reason.
 	readings expvar.Map
 }
 
-// Publish puts the metrics under their expvar names. It may be called once in a
+// Publish registers the metrics under their expvar names. It may be called only once in a
 // process.
 func (m *Metrics) Publish() {
 	expvar.Publish("FirstEvent", expvar.Func(func() any { return m.firstEvent.Summaries() }))
@@ -54,12 +53,12 @@
 	expvar.Publish("Readings", &m.readings)
 }
 
-// FirstEvent counts the time to a stream's first event.
+// FirstEvent records the time to a stream's first event.
 func (m *Metrics) FirstEvent(customer, route string, took time.Duration) {
 	m.firstEvent.Add(record.Key{Customer: customer, Class: route}, took)
 }
 
-// Answered counts the time to a whole answer.
+// Answered records the time to a whole answer.
 func (m *Metrics) Answered(customer, route string, took time.Duration) {
 	m.total.Add(record.Key{Customer: customer, Class: route}, took)
 }
@@ -67,10 +66,10 @@
 // Refused counts a refusal by its code.
 func (m *Metrics) Refused(code string) { m.refusals.Add(code, 1) }
 
-// Turned counts a request that the pool turned away, by customer.
+// Turned counts a request that the dispatcher, or this box in its place, refused, by customer.
 func (m *Metrics) Turned(customer string) { m.turned.Add(customer, 1) }
 
-// Cut counts an answer that was passed on visibly cut, by service.
+// Cut counts an answer that the caller sees truncated, by service.
 func (m *Metrics) Cut(service string) { m.cuts.Add(service, 1) }
 
 // Granted counts a grant.
@@ -79,13 +78,13 @@
 	m.missing.Add(int64(v.missingTokens))
 }
 
-// Rested counts an endpoint's word that it wants rest.
+// RestRequested counts an answer in which an endpoint asks for rest.
 func (m *Metrics) RestRequested() { m.rests.Add(1) }
 
-// ReadingWhole counts a reading of all endpoints that begins.
-func (m *Metrics) FullRead(why registry.FullReadReason) { m.readings.Add(string(why), 1) }
+// FullRead counts a full read of the endpoints that begins.
+func (m *Metrics) FullRead(reason registry.FullReadReason) { m.readings.Add(string(reason), 1) }
 
-// HandedBack counts a choice of an endpoint to which nothing was sent.
+// HandedBack counts a chosen endpoint to which nothing was sent.
 func (m *Metrics) HandedBack() { m.handedBack.Add(1) }
 
 func (g *Gateway) writeMetrics(ctx *fasthttp.RequestCtx) {
@@ -104,10 +103,10 @@
 	ctx.SetBody(out.Bytes())
 }
 
-// countsInterval is the time between two lines that sum up ordinary successes.
+// countsInterval is the time between two log lines that summarise successes.
 const countsInterval = 5 * time.Second
 
-// reportCounts logs what went well, summed up.
+// reportCounts logs a summary of the successes.
 func (g *Gateway) reportCounts(ctx context.Context) error {
 	log := g.Logs.For(logflags.Box)
 	traffic := &g.exchange.Traffic
@@ -134,10 +133,10 @@
 	return nil
 }
 
-// sampleEach is the part of ordinary successes that is logged: one in so many.
+// sampleInterval is the sampling of logged successes: one in so many.
 const sampleInterval = 16
 
-// sampled chooses requests by their ID, so that every box logs the same ones.
+// isSampled samples requests by their ID, so that every box logs the same ones.
 func isSampled(id string) bool {
 	return xxhash.Sum64String(id)%sampleInterval == 0
 }
--- a/pkg/gateway/promptcache.go
+++ b/pkg/gateway/promptcache.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// listTime bounds the wait for one engine's account of its memory.
+	// listTimeout bounds the wait for one engine's list of its cached parts.
 	listTimeout = time.Second
-	// listsAtOnce bounds the engines that are asked at once.
+	// maxConcurrentLists bounds the engines that are asked at the same time.
 	maxConcurrentLists = 12
 )
 
-// learnMemories asks the engines what they keep, once, where a box that has just
-// started dispatches and nobody has told it: after all boxes were gone, what the
-// engines keep would otherwise be read again, or counted on where it is not. A box
-// that does not yet know the fleet may think that it dispatches, and waits: with 295
-// boxes that all asked 301 engines, a box took 1.3 s for it, and was short of processor
-// time as long. The lock is held.
+// learnPromptCaches asks the engines once for their cached parts, if a box that has just
+// started is the dispatcher and no other box has sent them. After all boxes were gone, prompts
+// would otherwise be read again at other engines, or be assumed to be cached where they are
+// not. A box that does not yet know the fleet may take itself for the dispatcher, so it waits:
+// when 295 boxes all asked 301 engines, it took a box 1.3 s, in which it was short of
+// processor time. The lock is held.
 func (s *scheduler) learnPromptCaches() {
 	if s.cachesKnown || !s.pool.Warm {
 		return
@@ -47,11 +47,10 @@
 	})
 }
 
-// settledLook is the time between two looks whether this box knows the fleet.
+// settledCheckInterval is the time between two checks of whether this box knows the fleet.
 const settledCheckInterval = 50 * time.Millisecond
 
-// awaitSettled waits until this box knows the fleet. It reports false if the box stops
-// first.
+// awaitSettled waits until this box knows the fleet. It reports false if the box stops first.
 func (s *scheduler) awaitSettled() bool {
 	for !s.gateway.fleet.IsSettled(time.Now()) {
 		if interval.Wait(s.gateway.workContext, settledCheckInterval) != nil {
@@ -61,7 +60,7 @@
 	return true
 }
 
-// dispatches tells whether this box dispatches for the group, for itself or others.
+// isDispatcher reports whether this box dispatches for the group, for itself or for others.
 func (s *scheduler) isDispatcher() bool {
 	if s.dispatcher() == s.gateway.Settings.Name {
 		return true
@@ -101,9 +100,9 @@
 		zap.Duration("Took", time.Since(began)))
 }
 
-// listMemory asks one engine what it keeps.
+// listPromptCache asks one engine for its cached parts.
 func (g *Gateway) listPromptCache(engine route.Endpoint) (kept dispatch.CachedParts, err error) {
-	defer func() { err = trace.Wrap(err, "asking engine %s what it keeps", engine.ID) }()
+	defer func() { err = trace.Wrap(err, "listing the cached parts of engine %s", engine.ID) }()
 	ctx, cancel := context.WithTimeout(g.workContext, listTimeout)
 	defer cancel()
 	request := fasthttp.AcquireRequest()
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -17,12 +17,12 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errQuarantined ends an attempt of which nothing was sent, as too many endpoints have
-// ended under the request meanwhile.
+// errQuarantined ends an attempt before anything was sent, as too many endpoints have ended
+// under the request in the meantime.
 var errQuarantined = errors.New("too many endpoints have ended under the request")
 
-// refuseDeadly refuses a request under which too many endpoints have ended, at every box
-// alike; nil where it may be sent.
+// refuseQuarantined refuses a request under which too many endpoints have ended, at whatever
+// box; nil if it may be sent.
 func (c *call) refuseQuarantined() *request.Refusal {
 	now := time.Now()
 	verdict := c.gateway.ledger.Check(c.fingerprint, now)
@@ -33,8 +33,8 @@
 	return notRun(request.Quarantined, message, verdict.Until.Sub(now))
 }
 
-// withinReach are the endpoints that a request may go to. Once one has ended under it, as
-// many more may run it at once, from this box, as may still end.
+// exposableEndpoints returns the endpoints that a request may be sent to. Once an endpoint has
+// ended under it, this box runs it at no more endpoints at once than may still end.
 func (c *call) exposableEndpoints(endpoints []route.Endpoint) []route.Endpoint {
 	verdict := c.gateway.ledger.Check(c.fingerprint, time.Now())
 	if verdict.Ends == 0 {
@@ -47,7 +47,8 @@
 	return slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !running[e.ID] })
 }
 
-// noteWhole notes that the request was answered to its end, which no deadly one is.
+// clearFingerprint records that the request was answered completely, so that it is not the
+// cause of the ends.
 func (c *call) clearFingerprint(reply *endpoint.Reply) {
 	if !reply.Framed() {
 		return
@@ -58,14 +59,14 @@
 	}
 }
 
-// endsChanged has other boxes told, and the store, what this one saw.
+// publishEnds sends a changed ledger to the other boxes and the store.
 func (g *Gateway) publishEnds() {
 	g.exchange.SendNow()
 	g.registry.PersistQuarantine()
 }
 
-// outcomeOf tells what an attempt that broke says of its endpoint, and counts it where the
-// endpoint ended.
+// classifyBroken returns what a broken attempt says about its endpoint. If the endpoint ended,
+// it records the end.
 func (c *call) classifyBroken(to destination, err error) outcome {
 	if !hasEnded(to.Endpoint, c.gateway.registry.Directory(), err) {
 		return outcomeFailed
@@ -85,47 +86,51 @@
 	return outcomeEnded
 }
 
-// hasEnded tells whether an attempt broke as its endpoint ended. A connection that the other
-// side closed in the middle of an answer is taken for that at once: a deadly request comes
-// again within milliseconds, and the entry of an endpoint that ended goes three seconds
-// later. An endpoint that lives is told apart after that. One that leaves ends by plan, and
-// one that is silent has ended only if its entry is gone as well.
+// hasEnded reports whether an attempt broke because its endpoint ended. A connection that the
+// other side closed in the middle of an answer counts as an end at once: a deadly request is
+// repeated within milliseconds, and the entry of an ended endpoint is removed only three
+// seconds later. If the endpoint turns out to be alive, retractEnds corrects this. A leaving
+// endpoint ends as planned, and a silent one has ended only if its entry is gone as well or it
+// has restarted.
 func hasEnded(chosen route.Endpoint, directory *route.Directory, err error) bool {
-	now, listed := directory.Find(chosen.ID)
+	current, listed := directory.Find(chosen.ID)
 	switch {
-	case chosen.Leaving || (listed && now.Leaving):
+	case chosen.Leaving || (listed && current.Leaving):
 		return false
 	case errors.Is(err, errRestarted):
 		return true
 	case isConnectionLost(err):
 		return true
 	case errors.Is(err, errStalled) || errors.Is(err, syscall.ETIMEDOUT):
-		return !listed || now.Renews(&chosen)
+		return !listed || current.Renews(&chosen)
 	}
 	return false
 }
 
-// isBrokenOff tells of a connection that the other side ended in the middle of an answer.
+// isConnectionLost reports whether the other side ended the connection in the middle of an
+// answer.
 func isConnectionLost(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
 const (
-	// livesAfter is how long after an answer broke off its endpoint has to be listed still
-	// for the end to be taken back: an endpoint's entry goes after three heartbeats of
-	// some 1.2 s, a look at the entries takes as long, and one that went in an outage of
-	// the store is used for two seconds more.
+	// retractDelay is how long after an answer broke off its endpoint must still be listed
+	// for the end to be retracted: an endpoint's entry is removed after three heartbeats of
+	// some 1.2 s, a poll of the entries takes as long, and an entry removed during an outage
+	// of the store is used for two more seconds.
 	retractDelay = 8 * time.Second
-	// supposedFor is when an end that could not be told apart stands.
+	// unconfirmedEndTTL is after which time an end that was neither confirmed nor retracted
+	// stands.
 	unconfirmedEndTTL = time.Minute
-	// supposedLook is the time between two looks at these ends, and forgetLook that between two
-	// looks for what is old: after a crash of a zone these go over thousands, a millisecond
-	// long.
+	// endCheckInterval is the time between two checks of the unconfirmed ends, and
+	// ledgerExpiryInterval that between two scans for expired ones: after a crash of a zone
+	// these scan thousands, which takes a millisecond.
 	endCheckInterval     = 500 * time.Millisecond
 	ledgerExpiryInterval = 10 * time.Second
 )
 
-// supposedEnds are the endpoints that this box took for ended, until that is certain.
+// unconfirmedEnds are the endpoints that this box assumes to have ended, until that is
+// certain.
 type unconfirmedEnds struct {
 	mu         sync.Mutex
 	byInstance map[quarantine.Instance]*unconfirmedEnd
@@ -134,7 +139,7 @@
 type unconfirmedEnd struct {
 	endpoint route.Endpoint
 	at       time.Time
-	// looks is the number of the last look at the entries that came too early to count.
+	// polls is the number of the last poll of the entries that came too early to count.
 	polls uint64
 }
 
@@ -147,7 +152,7 @@
 	u.byInstance[instance] = &unconfirmedEnd{endpoint: endpoint, at: now, polls: polls}
 }
 
-// settle returns the endpoints that live after all, by what the registry knows now.
+// resolve returns the endpoints that turn out to be alive, by the registry's directory.
 func (u *unconfirmedEnds) resolve(directory *route.Directory, polls uint64, now time.Time) (alive []quarantine.Instance) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -167,7 +172,7 @@
 	return alive
 }
 
-// settleEnds takes back the ends of endpoints that live.
+// retractEnds retracts the ends of endpoints that are alive.
 func (g *Gateway) retractEnds() {
 	now := time.Now()
 	directory := g.registry.Directory()
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -15,7 +15,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// engineAt is an endpoint of some start.
+// engineAt is an endpoint whose instance has a start time.
 func engineAt(born int64) route.Endpoint {
 	return route.Endpoint{ID: "engine", Address: "10.0.0.1:1", Facts: lifecycle.Facts{Born: born}}
 }
@@ -34,24 +34,24 @@
 	leaving.Leaving = true
 	brokenOff := &endpoint.NoAnswerError{Address: "10.0.0.1:1", Err: io.ErrUnexpectedEOF}
 	for name, is := range map[string]struct {
-		chosen route.Endpoint
-		now    *route.Directory
-		err    error
-		want   bool
+		chosen    route.Endpoint
+		directory *route.Directory
+		err       error
+		want      bool
 	}{
-		"a connection that was closed in the middle":   {engineAt(1), listing(engineAt(1)), brokenOff, true},
-		"one that was reset":                           {engineAt(1), listing(engineAt(1)), syscall.ECONNRESET, true},
-		"one of an endpoint that leaves, by plan":      {engineAt(1), listing(leaving), brokenOff, false},
-		"one of an endpoint that was leaving":          {leaving, listing(), brokenOff, false},
-		"silence of an endpoint that is listed":        {engineAt(1), listing(engineAt(1)), errStalled, false},
-		"silence of one whose entry is gone":           {engineAt(1), listing(), errStalled, true},
-		"silence of one that started again":            {engineAt(1), listing(engineAt(2)), syscall.ETIMEDOUT, true},
-		"the word that it started again":               {engineAt(1), listing(engineAt(2)), errRestarted, true},
-		"an answer that is none":                       {engineAt(1), listing(engineAt(1)), &unusableError{reason: "no signature"}, false},
-		"an error that says nothing of the connection": {engineAt(1), listing(engineAt(1)), errors.New("other"), false},
+		"a connection closed in the middle":                   {engineAt(1), listing(engineAt(1)), brokenOff, true},
+		"a connection that was reset":                         {engineAt(1), listing(engineAt(1)), syscall.ECONNRESET, true},
+		"a closed connection of a leaving endpoint":           {engineAt(1), listing(leaving), brokenOff, false},
+		"a closed connection of an endpoint that was leaving": {leaving, listing(), brokenOff, false},
+		"silence of a listed endpoint":                        {engineAt(1), listing(engineAt(1)), errStalled, false},
+		"silence of an endpoint whose entry is gone":          {engineAt(1), listing(), errStalled, true},
+		"silence of an endpoint that restarted":               {engineAt(1), listing(engineAt(2)), syscall.ETIMEDOUT, true},
+		"an entry that shows a restart":                       {engineAt(1), listing(engineAt(2)), errRestarted, true},
+		"an unusable answer":                                  {engineAt(1), listing(engineAt(1)), &unusableError{reason: "no signature"}, false},
+		"an error that is not of the connection":              {engineAt(1), listing(engineAt(1)), errors.New("other"), false},
 	} {
-		Convey("It is told whether an endpoint ended by "+name, t, func() {
-			So(hasEnded(is.chosen, is.now, is.err), ShouldEqual, is.want)
+		Convey("It is determined whether an endpoint ended by "+name, t, func() {
+			So(hasEnded(is.chosen, is.directory, is.err), ShouldEqual, is.want)
 		})
 	}
 }
@@ -68,18 +68,18 @@
 		return alive
 	}
 	all := []time.Duration{time.Second, retractDelay - 1, retractDelay + time.Second, retractDelay + 2*time.Second}
-	Convey("An endpoint that is listed still, by a look that came late enough, has not ended", t, func() {
+	Convey("An endpoint that is still listed, by a poll that came late enough, has not ended", t, func() {
 		So(resolved(listing(engineAt(1)), 10, all...), ShouldEqual, 1)
 		So(resolved(listing(engineAt(1)), 10, all[:2]...), ShouldEqual, 0)
 	})
-	Convey("Without a look since, nothing is taken back", t, func() {
+	Convey("Without a later poll, no end is retracted", t, func() {
 		u := &unconfirmedEnds{}
 		u.add(instance, engineAt(1), 10, start)
 		So(u.resolve(listing(engineAt(1)), 12, start.Add(retractDelay-1)), ShouldBeEmpty)
 		So(u.resolve(listing(engineAt(1)), 12, start.Add(retractDelay+time.Second)), ShouldBeEmpty)
 		So(u.resolve(listing(engineAt(1)), 13, start.Add(retractDelay+time.Second)), ShouldHaveLength, 1)
 	})
-	Convey("One whose entry went, or that started again, has ended", t, func() {
+	Convey("An endpoint whose entry is gone, or that restarted, has ended", t, func() {
 		So(resolved(listing(), 10, all...), ShouldEqual, 0)
 		So(resolved(listing(engineAt(2)), 10, all...), ShouldEqual, 0)
 	})
--- a/pkg/gateway/regions.go
+++ b/pkg/gateway/regions.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// comeBackNowhere is told where a request may be served nowhere: only another configuration
-// changes that, and those come every few seconds at most.
+// noRegionRetryDelay is the Retry-After of a request that no region may serve: only a new
+// configuration changes that, and configurations change every few seconds at most.
 const noRegionRetryDelay = 5 * time.Second
 
-// homeZones are the availability zones that lie in each of some lists of regions, of which
-// an empty one names all; no zones means any. Served is false where none does.
+// allowedZones returns the availability zones whose region is in every given list; an empty
+// list allows all regions. If all lists are empty, zones is nil, which means any. served is
+// false if no zone is allowed.
 func (s *Settings) allowedZones(homes ...[]string) (zones []string, served bool) {
 	homes = slices.DeleteFunc(homes, func(regions []string) bool { return len(regions) == 0 })
 	if len(homes) == 0 {
--- a/pkg/lifecycle/rests.go
+++ b/pkg/lifecycle/rests.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// Rest is the word of an endpoint that turned a box away: it wants nothing from that box
-// until a time. It says nothing to other boxes, and ends with the start that it is of.
+// Rest is an endpoint's request to one box, sent when it refused a request (Retry-After), to
+// send it nothing until a time. It does not concern other boxes, and ends with the instance
+// that asked.
 type Rest struct {
 	Endpoint string
-	// Born is the start that asked; 0 means that it does not tell.
+	// Born identifies the instance that asked; 0 if unknown.
 	Born  int64
 	Until time.Time
 }
 
-// MostRest is the longest rest that is taken for meant. An endpoint that asks for more
-// would in effect end, which it says in other ways.
+// MaxRest is the longest rest that is accepted. An endpoint that asks for more would in effect
+// leave, which it reports in other ways.
 const MaxRest = time.Hour
 
-// Rests are what endpoints asked of one box. The zero value is none. It is not safe for
-// concurrent use.
+// Rests are the rests that endpoints asked of one box. The zero value is empty. It is not safe
+// for concurrent use.
 type Rests struct {
 	byID map[string]Rest
-	// sweepAt is the number of rests at which those that are over are dropped.
+	// sweepThreshold is the number of rests from which on expired ones are dropped.
 	sweepThreshold int
 }
 
-// sweepLeast is the least number of rests that are looked through for those that are over.
+// minSweepThreshold is the least sweepThreshold.
 const minSweepThreshold = 64
 
-// Ask notes a rest. A shorter one does not cut a longer one of the same start, and one of
-// an earlier start changes nothing. It reports whether the endpoint rests longer now.
+// Add records a rest. It does not shorten a longer one of the same instance, and one of an
+// earlier instance is ignored. It reports whether the endpoint now rests longer.
 func (r *Rests) Add(rest Rest, now time.Time) (longer bool) {
 	known, exists := r.byID[rest.Endpoint]
 	reported, before := Facts{Born: rest.Born}, Facts{Born: known.Born}
@@ -41,7 +42,7 @@
 		return false
 	case exists && !reported.Supersedes(&before):
 		longer = rest.Until.After(known.Until)
-		// Either may not tell its start: the word is then of the one that does.
+		// If only one of the two is of a known instance, the rest belongs to that one.
 		rest.Born = max(rest.Born, known.Born)
 		if !longer {
 			rest.Until = known.Until
@@ -57,7 +58,7 @@
 	return longer
 }
 
-// sweep drops what is over, once there may be much of it.
+// sweep drops expired rests once there may be many.
 func (r *Rests) sweep(now time.Time) {
 	if len(r.byID) < max(r.sweepThreshold, minSweepThreshold) {
 		return
@@ -66,7 +67,7 @@
 	r.sweepThreshold = 2 * len(r.byID)
 }
 
-// Until is when the rest of an endpoint's start is over; it is zero or past where there is
+// Until returns when the rest of an endpoint's instance ends; zero or a past time if there is
 // none.
 func (r *Rests) Until(endpoint string, born int64) time.Time {
 	known, exists := r.byID[endpoint]
@@ -77,7 +78,7 @@
 	return known.Until
 }
 
-// All are the rests that are not over, by endpoint.
+// All returns the rests that have not expired, ordered by endpoint.
 func (r *Rests) All(now time.Time) (rests []Rest) {
 	for _, rest := range r.byID {
 		if now.Before(rest.Until) {
--- a/pkg/lifecycle/rests_test.go
+++ b/pkg/lifecycle/rests_test.go
@@ -13,7 +13,7 @@
 	rest := func(born int64, after time.Duration) Rest {
 		return Rest{Endpoint: "e", Born: born, Until: start.Add(after)}
 	}
-	Convey("A shorter word does not cut a longer one", t, func() {
+	Convey("A shorter rest does not shorten a longer one", t, func() {
 		var r Rests
 		So(r.Add(rest(0, 3*time.Second), start), ShouldBeTrue)
 		So(r.Add(rest(0, time.Second), start), ShouldBeFalse)
@@ -21,7 +21,7 @@
 		So(r.Add(rest(0, 4*time.Second), start), ShouldBeTrue)
 		So(r.Until("e", 0), ShouldEqual, start.Add(4*time.Second))
 	})
-	Convey("A later start does, and an earlier one says nothing", t, func() {
+	Convey("A rest of a later instance does, and one of an earlier instance is ignored", t, func() {
 		var r Rests
 		r.Add(rest(5, 3*time.Second), start)
 		So(r.Until("e", 6).IsZero(), ShouldBeTrue)
@@ -31,7 +31,7 @@
 		So(r.Add(rest(5, time.Hour), start), ShouldBeFalse)
 		So(r.Until("e", 6), ShouldEqual, start.Add(time.Second))
 	})
-	Convey("What is over is not told, and is forgotten", t, func() {
+	Convey("Expired rests are not returned, and are dropped", t, func() {
 		var r Rests
 		for i := range 10000 {
 			now := start.Add(time.Duration(i) * time.Second)
@@ -42,8 +42,8 @@
 	})
 }
 
-// TestRestBinds holds, over drawn words of drawn starts, that a rest lasts until the latest
-// time that the current start asked for.
+// TestRestBinds checks with random rests of random instances that a rest lasts until the
+// latest time that the current instance asked for.
 func TestRestBinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Rests
@@ -61,14 +61,14 @@
 				latest[of] = until
 			}
 			if now.Before(latest[born]) && now.Before(latest[born]) != now.Before(r.Until("e", born)) {
-				t.Fatalf("%s after the start the rest of start %d is over, asked for until %s", now.Sub(start), born, latest[born].Sub(start))
+				t.Fatalf("after %s the rest of instance %d has ended, which was asked for until %s", now.Sub(start), born, latest[born].Sub(start))
 			}
 		}
 	})
 }
 
 func TestDeparture(t *testing.T) {
-	Convey("The word of one start concerns it, earlier ones, and one that does not tell", t, func() {
+	Convey("A departure applies to its own instance, to earlier and to unknown ones", t, func() {
 		d := Departure{Endpoint: "e", Born: 5}
 		for born, concerned := range map[int64]bool{0: true, 4: true, 5: true, 6: false} {
 			So(d.AppliesTo(&Facts{Born: born}), ShouldEqual, concerned)
--- a/pkg/lifecycle/state.go
+++ b/pkg/lifecycle/state.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Bound is how much a cold endpoint of a service takes.
+// Bound limits what may be sent to a cold endpoint of a service.
 type Bound struct {
-	// For is how long an endpoint stays cold after a start.
+	// Duration is how long an endpoint stays cold after its start.
 	Duration time.Duration
-	// Most is the number of requests in any second that all boxes together may send to
-	// it; 0 means that there is no bound.
+	// MaxPerSecond is the number of requests in any second that all boxes together may send
+	// to it; 0 means that there is no bound.
 	MaxPerSecond float64
 }
 
-// Source is how it is known that an endpoint is cold.
+// Source is the reason for which an endpoint counts as cold.
 type Source int
 
 const (
-	// Told is its own word.
+	// Reported: the endpoint reports it.
 	Reported Source = iota
-	// Started endpoints were seen for the first time, or are of a new start.
+	// Started: the endpoint was seen for the first time, or restarted.
 	Started
-	// Returned endpoints are back after failures or silence: they may have started again.
+	// Returned: the endpoint is back after failures or silence, and may have restarted.
 	Returned
-	// Restored endpoints are of an availability zone whose evacuation was withdrawn.
+	// Restored: the evacuation of the endpoint's availability zone was withdrawn.
 	Restored
 )
 
 const (
-	// usedPart of the bound is used, and countedFor is the time in which what was sent
-	// counts. A request reaches its endpoint some milliseconds after it was granted, or
-	// some hundred where its router lacks processor time, so that the grants of more than
-	// a second may arrive in one. Together they leave 0.74 of the bound where it is of
-	// 14 requests.
+	// usedFraction is the fraction of the bound that is used, and sentWindow the time for
+	// which a sent request counts. A request reaches its endpoint some milliseconds after it
+	// was granted, or some hundred if its router lacks processor time, so that the grants of
+	// more than a second may arrive within one. Together they leave 0.74 of a bound of 14
+	// requests.
 	usedFraction = 0.9
 	sentWindow   = 1150 * time.Millisecond
 )
 
-// Life is what one box knows of one start of an endpoint, and how much was sent to it
+// State is what one box knows of one instance of an endpoint, and how much was sent to it
 // there. The zero value is an endpoint of which nothing is known. It is not safe for
 // concurrent use.
 type State struct {
 	Facts
-	// concludedUntil is how long the endpoint counts as cold though it has not said so,
-	// and source tells why.
+	// assumedColdUntil is until when the endpoint counts as cold without having reported it,
+	// and source the reason.
 	assumedColdUntil time.Time
 	source           Source
-	// sent are the times of what was sent within countedFor, in order.
+	// sent are the times of the requests sent within sentWindow, in order.
 	sent []time.Time
 }
 
-// Learn takes newer facts of the same start.
+// Update applies newer facts of the same instance.
 func (l *State) Update(facts Facts, bound Bound, now time.Time) {
 	if l.Evacuated && !facts.Evacuated {
 		l.AssumeCold(Restored, now.Add(bound.Duration))
@@ -56,15 +56,15 @@
 	l.Facts = facts
 }
 
-// Suppose has the endpoint count as cold before it says so itself: its word takes up to
-// two heartbeats to come, in which an idle endpoint gets most of all.
+// AssumeCold makes the endpoint count as cold before it reports it: its report takes up to two
+// heartbeats, in which an idle endpoint gets the most requests.
 func (l *State) AssumeCold(source Source, until time.Time) {
 	if until.After(l.assumedColdUntil) {
 		l.assumedColdUntil, l.source = until, source
 	}
 }
 
-// Cold tells whether the endpoint counts as cold, and how that is known.
+// Cold reports whether the endpoint counts as cold, and why.
 func (l *State) Cold(now time.Time) (cold bool, source Source) {
 	if now.Before(l.ColdUntil) {
 		return true, Reported
@@ -72,7 +72,7 @@
 	return now.Before(l.assumedColdUntil), l.source
 }
 
-// NoteSent counts a request on its way to the endpoint.
+// RecordSent counts a request sent to the endpoint.
 func (l *State) RecordSent(now time.Time) {
 	l.dropExpired(now)
 	l.sent = append(l.sent, now)
@@ -88,8 +88,8 @@
 	}
 }
 
-// Takes tells whether one more request may be sent now. Part is the part of the bound
-// that is the asking box's to use: the parts of all boxes add up to 1 at most.
+// CanSend reports whether one more request may be sent now. The fraction is what this box may
+// use of the bound: the fractions of all boxes add up to 1 at most.
 func (l *State) CanSend(bound Bound, fraction float64, now time.Time) bool {
 	if !l.Admits() {
 		return false
--- a/pkg/lifecycle/state_test.go
+++ b/pkg/lifecycle/state_test.go
@@ -27,7 +27,7 @@
 	return most
 }
 
-// sendAll sends what the life takes, each millisecond.
+// sendAll tries to send each millisecond, and returns when it could.
 func sendAll(l *State, from time.Time, length time.Duration, fraction float64) (sent []time.Time) {
 	for now := from; now.Before(from.Add(length)); now = now.Add(time.Millisecond) {
 		if l.CanSend(bound, fraction, now) {
@@ -45,18 +45,18 @@
 		So(mostInASecond(sent), ShouldBeLessThanOrEqualTo, 14)
 		So(len(sent), ShouldBeGreaterThanOrEqualTo, int(0.7*bound.MaxPerSecond*10))
 	})
-	Convey("A warm one gets all, and what it got counts once it is cold", t, func() {
+	Convey("A warm endpoint gets all requests, and these count once it is cold", t, func() {
 		l := &State{}
 		So(sendAll(l, start, 100*time.Millisecond, 1), ShouldHaveLength, 100)
 		l.Update(Facts{ColdUntil: start.Add(time.Minute)}, bound, start)
 		So(l.CanSend(bound, 1, start.Add(time.Second)), ShouldBeFalse)
 		So(l.CanSend(bound, 1, start.Add(2*time.Second)), ShouldBeTrue)
 	})
-	Convey("Where the service has no bound, it gets all", t, func() {
+	Convey("A cold endpoint of a service without a bound gets all requests", t, func() {
 		l := &State{Facts: Facts{ColdUntil: start.Add(time.Minute)}}
 		So(l.CanSend(Bound{}, 1, start), ShouldBeTrue)
 	})
-	Convey("It counts as cold by conclusions, which end; its word that it is warm does not end them", t, func() {
+	Convey("An endpoint counts as cold for the assumed time, also if it reports that it is warm", t, func() {
 		l := &State{}
 		l.AssumeCold(Returned, start.Add(3*time.Second))
 		l.Update(Facts{}, bound, start)
@@ -66,7 +66,7 @@
 		cold, _ = l.Cold(start.Add(3 * time.Second))
 		So(cold, ShouldBeFalse)
 	})
-	Convey("It counts as cold once its zone's evacuation is withdrawn", t, func() {
+	Convey("An endpoint counts as cold once its zone's evacuation is withdrawn", t, func() {
 		l := &State{Facts: Facts{Evacuated: true}}
 		So(l.CanSend(bound, 1, start), ShouldBeFalse)
 		l.Update(Facts{}, bound, start)
@@ -83,7 +83,7 @@
 			So((&State{Facts: facts}).CanSend(Bound{}, 1, start), ShouldBeFalse)
 		})
 	}
-	Convey("A later start supersedes an earlier one; without a word of its start, none does", t, func() {
+	Convey("A later instance supersedes an earlier one; unknown instances do not", t, func() {
 		early, late, unknown := Facts{Born: 5}, Facts{Born: 6}, Facts{}
 		So(late.Supersedes(&early), ShouldBeTrue)
 		So(early.Supersedes(&late), ShouldBeFalse)
@@ -93,8 +93,8 @@
 	})
 }
 
-// TestColdBound holds that drawn boxes, whose parts add up to 1, keep within the bound
-// together, whenever facts come and whatever they conclude.
+// TestColdBound checks that boxes whose fractions add up to 1 keep to the bound together, at
+// random times.
 func TestColdBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fractions := rapid.SliceOfN(rapid.Float64Range(0, 1), 1, 5).Draw(t, "parts")
--- a/pkg/quarantine/changes.go
+++ b/pkg/quarantine/changes.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// noteNews has an account told to other boxes, but for the one that told it. The lock is
+// markChanged has a record sent to other boxes, except the one that it came from. The lock is
 // held.
 func (l *Ledger) markChanged(a *endRecord, from string) {
 	l.sequence++
@@ -17,9 +17,9 @@
 	return End{Fingerprint: a.fingerprint, Instance: a.instance, Version: a.version, Age: now.Sub(a.at)}
 }
 
-// Since are accounts with news since a mark, but for what the named box told itself; not
-// all of them where there are many. The first mark of a stream is 0, the next is the one
-// returned.
+// Since returns the ends that changed since a mark, without those that came from the box named
+// by to; if there are many, not all of them. The first mark of a stream is 0, the next is the
+// one returned.
 func (l *Ledger) Since(since uint64, to string, now time.Time) (ends []End, mark uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,8 +38,8 @@
 	return ends, l.sequence
 }
 
-// newsSince are the accounts with news since a mark, in the order of the news. The lock is
-// held.
+// changedSince returns the records that changed since a mark, in the order of the changes. The
+// lock is held.
 func (l *Ledger) changedSince(since uint64) (changed []*endRecord) {
 	for _, known := range l.suspects {
 		for _, a := range known.ends {
@@ -52,7 +52,7 @@
 	return changed
 }
 
-// Gravest are accounts of the requests under which most endpoints ended, as many as go
+// MostSevere returns the ends of the requests under which most endpoints ended, as many as fit
 // into one message: what a box has to know before it sends anything.
 func (l *Ledger) MostSevere(now time.Time) (ends []End) {
 	l.mu.Lock()
@@ -65,14 +65,14 @@
 	return ends
 }
 
-// endsOf counts the ends under an account's fingerprint. The lock is held.
+// endsOf counts the ends under a record's fingerprint. The lock is held.
 func (l *Ledger) endsOf(a *endRecord) int {
 	ends, _ := l.suspects[a.fingerprint].countEnds()
 	return ends
 }
 
-// Merge takes what another box tells, or what the store keeps. It reports whether that is
-// news here.
+// Merge applies ends that another box sent or the store keeps. It reports whether anything
+// changed.
 func (l *Ledger) Merge(ends []End, from string, now time.Time) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,6 +1,7 @@
-// Package quarantine keeps requests away from endpoints that would end under them. A
-// request that ends each endpoint which begins it comes again with another ID, at any box,
-// so what is counted belongs to what its repeats have in common: their fingerprint.
+// Package quarantine stops sending requests under which endpoints keep ending, that is, whose
+// endpoints' processes end while they run the request. A deadly request ends each endpoint
+// that starts to run it, and is repeated with another ID and at any box, so the ends are
+// counted by what its repeats have in common: their fingerprint.
 package quarantine
 
 import (
@@ -12,16 +13,16 @@
 	"github.com/gravitational/trace"
 )
 
-// Fingerprint tells requests apart by their method, target, customer and body: the same in
-// all repeats, at every box. The zero value stands for none.
+// Fingerprint identifies a request by its method, target, customer and body: it is the same
+// for all repeats, at every box. The zero value means none.
 //
-// It is 16 bytes of SHA-256, so that no caller can make a request with the fingerprint of
-// another customer's: 12.5 microseconds for 17 kB and 1.4 for 1.5 kB
-// (BenchmarkFingerprint). A keyed hash took 1.9 and 0.3, but boxes would need a secret that
-// all of them share from their first request on.
+// It is 16 bytes of SHA-256, so that no caller can forge a request with the fingerprint of
+// another customer's request: 12.5 microseconds for 17 kB and 1.4 for 1.5 kB
+// (BenchmarkFingerprint). A keyed hash took 1.9 and 0.3, but needs a secret that all boxes
+// share from their first request on.
 type Fingerprint [16]byte
 
-// Of is the fingerprint of a request.
+// FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(method, target, customer, body []byte) (f Fingerprint) {
 	digest := sha256.New()
 	for _, field := range [][]byte{method, target, customer, body} {
@@ -32,7 +33,8 @@
 	return f
 }
 
-// writeField writes a field after its length, so that no two lists of fields are alike.
+// writeField writes a field after its length, so that different lists of fields never give the
+// same bytes.
 func writeField(to hash.Hash, field []byte) {
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(len(field)))
@@ -41,15 +43,15 @@
 	_, _ = to.Write(field)
 }
 
-// IsZero tells that there is no fingerprint.
+// IsZero reports whether there is no fingerprint.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
-// String is the fingerprint in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse reads what String makes.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(text string) (f Fingerprint, err error) {
-	defer func() { err = trace.Wrap(err, "reading fingerprint %q", text) }()
+	defer func() { err = trace.Wrap(err, "parsing fingerprint %q", text) }()
 	if hex.DecodedLen(len(text)) != len(f) {
 		return f, trace.BadParameter("it has %d characters", len(text))
 	}
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -13,7 +13,7 @@
 }
 
 func TestFingerprint(t *testing.T) {
-	Convey("Requests that differ in one field, or in where fields begin, have other fingerprints", t, func() {
+	Convey("Requests that differ in a field, or in where fields begin, have different fingerprints", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			draw := rapid.SliceOfN(rapid.StringN(0, 4, -1), 4, 4)
 			a, b := draw.Draw(t, "a"), draw.Draw(t, "b")
@@ -24,7 +24,7 @@
 		})
 		So(fingerprintOf("", "", "", "").IsZero(), ShouldBeFalse)
 	})
-	Convey("A fingerprint is read back from its text, and nothing else is", t, func() {
+	Convey("A fingerprint can be parsed from its text, and other texts are errors", t, func() {
 		f := fingerprintOf("POST", "/a", "ward", "body")
 		read, err := ParseFingerprint(f.String())
 		So(err, ShouldBeNil)
@@ -36,7 +36,7 @@
 	})
 }
 
-// BenchmarkFingerprint is the cost of a request's fingerprint by the size of its body.
+// BenchmarkFingerprint measures the cost of a fingerprint by the size of the body.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 1500, 17000, 100000} {
 		body := make([]byte, size)
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -12,40 +12,39 @@
 )
 
 const (
-	// MostEnds is how many endpoints one request may end. One or two ends come to a
-	// bystander in an ordinary crash, which cuts some thirty streams and may strike the
-	// same caller's next try again; three seldom do.
+	// MaxEnds is how many endpoints one request may end. An ordinary crash cuts some thirty
+	// streams and may hit the retry of the same caller again, so that one or two ends happen
+	// to bystanders, requests that are not the cause; three seldom do.
 	MaxEnds = 3
-	// heldFor is how long a request is quarantined after the third end. Then it may be
-	// tried at one endpoint, and each further end makes the time heldGrowth times as long,
-	// up to heldLongest: a bystander is back within minutes, and a deadly one ends three
-	// more endpoints within seven hours, while somebody mends their software.
+	// minQuarantine is how long a request is quarantined after the third end. Then it may be
+	// tried at one endpoint, and each further end multiplies the time by quarantineGrowth, up
+	// to maxQuarantine: a bystander is served again within minutes, and a deadly request ends
+	// three more endpoints within seven hours, which leaves time to fix their software.
 	minQuarantine    = 10 * time.Minute
 	quarantineGrowth = 6
 	maxQuarantine    = 24 * time.Hour
-	// keepFor is how long an end is remembered at least: a caller that comes back every
-	// few minutes is still the same one.
+	// minRetention is how long an end is remembered at least: a caller may repeat a request
+	// every few minutes.
 	minRetention = time.Hour
-	// mostSuspects bounds the fingerprints that are remembered, at some 300 bytes each.
-	// Only requests under which an endpoint ended are: a crash leaves as many as ran
-	// there.
+	// maxSuspects bounds the fingerprints that are remembered, at some 300 bytes each. Only
+	// requests under which an endpoint ended are: a crash adds as many as ran there.
 	maxSuspects = 16384
-	// mostLives bounds the ends that are kept of one fingerprint. Beyond MostEnds there
-	// is one for each time that it was tried again.
+	// maxEndsPerRequest bounds the ends that are kept of one fingerprint. Beyond MaxEnds
+	// there is one for each time that it was tried again.
 	maxEndsPerRequest = 12
-	// mostTold bounds the ends in one message, some 30 bytes each: a zone of a thousand
-	// endpoints leaves tens of thousands, which may take some seconds.
+	// maxMessageEnds bounds the ends in one message, some 30 bytes each. A crashed zone of a
+	// thousand endpoints leaves tens of thousands, whose transfer may take some seconds.
 	maxMessageEnds = 256
 )
 
-// Life names one start of an endpoint. Its upper serviceBits are those of a hash of the
+// Instance identifies one instance of an endpoint. Its upper serviceBits are a hash of the
 // endpoint's service.
 type Instance uint64
 
 const serviceBits = 16
 
-// LifeOf is the start of an endpoint of a service that began at a time by its own word; 0
-// where it does not tell.
+// InstanceOf returns the instance of a service's endpoint that reports its start as born; 0
+// means that it does not report it.
 func InstanceOf(service, endpoint string, born int64) Instance {
 	digest := xxhash.New()
 	writeField(digest, []byte(endpoint))
@@ -53,39 +52,38 @@
 	return serviceOf(service) | Instance(digest.Sum64()>>serviceBits)
 }
 
-// serviceOf are the bits of a Life that tell its service.
+// serviceOf returns the bits of an Instance that identify its service.
 func serviceOf(service string) Instance {
 	return Instance(xxhash.Sum64String(service)) &^ (1<<(64-serviceBits) - 1)
 }
 
-// isOf tells whether a start is of an endpoint of a service.
+// belongsTo reports whether an instance is of an endpoint of a service.
 func (l Instance) belongsTo(service string) bool {
 	return l&^(1<<(64-serviceBits)-1) == serviceOf(service)
 }
 
-// End is the account that an endpoint ended while it ran a request.
+// End records that an endpoint ended while it ran a request.
 type End struct {
 	Fingerprint Fingerprint
 	Instance    Instance
-	// Version is odd where the endpoint ended, and even where that was taken back. Of two
-	// accounts of the same end, the one with the higher version holds.
+	// Version is odd if the endpoint ended, and even once that was retracted. Of two records
+	// of the same end, the one with the higher version holds.
 	Version uint32
-	// Age is how long ago that was.
+	// Age is how long ago the endpoint ended or the end was retracted.
 	Age time.Duration
 }
 
-// Ledger is what one box knows of the requests under which endpoints ended. Boxes tell
-// each other all of it, so that any of them may be lost, and each one judges by itself: in
-// drawn fleets that lose boxes a request ended 3 engines at most, and 7 where only the box
-// that dispatches counted (TestDeadlyWays). The zero value is empty. It is safe for
-// concurrent use.
+// Ledger is what one box knows of the requests under which endpoints ended. Boxes send each
+// other all of it, so that any of them may be lost, and each one decides by itself: in
+// simulated fleets that lose boxes a request ended 3 engines at most, and 7 if only the
+// dispatcher counted (TestDeadlyWays). The zero value is empty. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// clock counts what became news.
+	// sequence counts the changes.
 	sequence uint64
-	// unstored are the fingerprints whose rows in the store are to be changed: those of
-	// which this box saw something itself.
+	// unstored are the fingerprints whose rows in the store have to be changed: those for
+	// which this box itself recorded a change.
 	unstored map[Fingerprint]bool
 }
 
@@ -96,35 +94,35 @@
 	stored bool
 }
 
-// account is an End as this box has it.
+// endRecord is an End as this box keeps it.
 type endRecord struct {
 	fingerprint Fingerprint
 	instance    Instance
 	version     uint32
 	at          time.Time
-	// news is the clock when it last changed, and from the box that told that; empty
-	// where this one saw it.
+	// sequence is the ledger's when the record last changed, and from the box that sent the
+	// change; empty if this box recorded it.
 	sequence uint64
 	from     string
 }
 
 func (a *endRecord) ended() bool { return a.version%2 == 1 }
 
-// Verdict is what may be done with a request.
+// Status is what may be done with a request.
 type Status struct {
 	// Ends is how many endpoints have ended under it.
 	Ends int
-	// Allowed is the number of endpoints that it may run at, at once: so many more may
-	// end before it is quarantined.
+	// Allowed is the number of endpoints at which it may run at the same time: as many as may
+	// still end before it is quarantined.
 	Allowed int
-	// Until is when it may be tried again; zero where it is not quarantined.
+	// Until is when it may be tried again; zero if it is not quarantined.
 	Until time.Time
 }
 
-// Quarantined tells whether the request is to go to no endpoint.
-func (v Status) Quarantined() bool { return v.Allowed == 0 }
+// Quarantined reports whether the request must not be sent to any endpoint.
+func (s Status) Quarantined() bool { return s.Allowed == 0 }
 
-// Judge tells what may be done with a request now.
+// Check returns what may be done with a request now.
 func (l *Ledger) Check(f Fingerprint, now time.Time) Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,7 +140,7 @@
 	return Status{Ends: ends, Allowed: 1}
 }
 
-// Ended tells whether a start of an endpoint ended under a request.
+// HasEnded reports whether an instance ended under a request.
 func (l *Ledger) HasEnded(f Fingerprint, instance Instance) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,13 +152,13 @@
 	return a != nil && a.ended()
 }
 
-// held is how long a request with so many ends is quarantined.
+// quarantineTime is how long a request with so many ends is quarantined.
 func quarantineTime(ends int) time.Duration {
 	seconds := minQuarantine.Seconds() * math.Pow(quarantineGrowth, float64(ends-MaxEnds))
 	return time.Duration(min(seconds, maxQuarantine.Seconds()) * float64(time.Second))
 }
 
-// ends counts the endpoints that ended, and tells when the last one did.
+// countEnds counts the endpoints that ended, and returns when the last one did.
 func (s *suspect) countEnds() (count int, last time.Time) {
 	for _, a := range s.ends {
 		if a.ended() {
@@ -173,7 +171,7 @@
 	return count, last
 }
 
-// Note counts an endpoint that ended while it ran a request, as this box saw.
+// RecordEnd records that an endpoint ended while it ran a request of this box.
 func (l *Ledger) RecordEnd(f Fingerprint, instance Instance, now time.Time) End {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,7 +185,7 @@
 	return a.toEnd(now)
 }
 
-// accountOf is the account of an end, made where there is none. The lock is held.
+// recordOf returns the record of an end, and adds it if there is none. The lock is held.
 func (l *Ledger) recordOf(f Fingerprint, instance Instance, now time.Time) *endRecord {
 	if l.suspects == nil {
 		l.suspects = map[Fingerprint]*suspect{}
@@ -208,7 +206,7 @@
 	return a
 }
 
-// makeRoom drops the oldest account where there are many.
+// evictOldest drops the oldest record if there are too many.
 func (s *suspect) evictOldest() {
 	if len(s.ends) < maxEndsPerRequest {
 		return
@@ -222,8 +220,8 @@
 	delete(s.ends, oldest.instance)
 }
 
-// makeRoom drops what is old and, if that is not enough, a part of those with the fewest
-// ends, the oldest first. The lock is held.
+// evict drops expired suspects and, if that is not enough, an eighth of all: those with the
+// fewest ends, the oldest first. The lock is held.
 func (l *Ledger) evict(now time.Time) {
 	if len(l.suspects) < maxSuspects {
 		return
@@ -251,7 +249,7 @@
 	}
 }
 
-// Forget drops what is too old to count.
+// Expire drops the suspects that are too old to count.
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -271,7 +269,7 @@
 	}
 }
 
-// newest is when an account last changed.
+// changedAt is when a record last changed.
 func (s *suspect) changedAt() (at time.Time) {
 	for _, a := range s.ends {
 		at = later(at, a.at)
@@ -286,7 +284,7 @@
 	return b
 }
 
-// drop forgets a fingerprint. The lock is held.
+// drop removes a fingerprint. The lock is held.
 func (l *Ledger) drop(f Fingerprint) {
 	if l.suspects[f].stored {
 		l.unstored[f] = true
@@ -294,7 +292,7 @@
 	delete(l.suspects, f)
 }
 
-// TakeBack notes that an endpoint lives: it ended under none of its requests.
+// Retract records that an instance is alive after all: it ended under none of its requests.
 func (l *Ledger) Retract(instance Instance, now time.Time) (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -317,9 +315,10 @@
 	return 1
 }
 
-// Clear notes that a service answered a request to its end: it was a bystander wherever an
-// endpoint of that service ended before. It reports whether any had. Of a route that leads to
-// two services, one may answer what ends the other's endpoints.
+// Clear records that a service answered a request completely: the request was a bystander
+// wherever an endpoint of that service ended under it. It reports whether any had. The ends of
+// other services stay: a route may lead to two services, of which one answers what ends the
+// other's endpoints.
 func (l *Ledger) Clear(f Fingerprint, service string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/ledger_test.go
+++ b/pkg/quarantine/ledger_test.go
@@ -15,7 +15,7 @@
 
 func instance(number int) Instance { return InstanceOf("llm", fmt.Sprintf("engine-%d", number), 0) }
 
-// noteEnds counts so many endpoints that ended.
+// noteEnds records the ends of so many endpoints.
 func noteEnds(l *Ledger, f Fingerprint, count int, now time.Time) {
 	for i := range count {
 		l.RecordEnd(f, instance(i), now)
@@ -23,7 +23,7 @@
 }
 
 func TestJudge(t *testing.T) {
-	Convey("After one and two ends fewer endpoints are allowed, after three none", t, func() {
+	Convey("After one or two ends fewer endpoints are allowed, after three none", t, func() {
 		l := &Ledger{}
 		So(l.Check(deadly, start), ShouldResemble, Status{Allowed: 3})
 		noteEnds(l, deadly, 2, start)
@@ -34,7 +34,7 @@
 		So(l.Check(deadly, start), ShouldResemble, Status{Ends: 3, Until: start.Add(minQuarantine)})
 		So(l.Check(fingerprintOf("POST", "/brief/1", "ward", "other"), start).Allowed, ShouldEqual, 3)
 	})
-	Convey("When its time is over it may end one more, and then has six times as long", t, func() {
+	Convey("After its quarantine a request may end one more endpoint, and is then quarantined six times as long", t, func() {
 		l := &Ledger{}
 		noteEnds(l, deadly, 3, start)
 		later := start.Add(minQuarantine)
@@ -43,7 +43,7 @@
 		So(l.Check(deadly, later), ShouldResemble, Status{Ends: 4, Until: later.Add(quarantineGrowth * minQuarantine)})
 		So(quarantineTime(20), ShouldEqual, maxQuarantine)
 	})
-	Convey("Who is answered to the end is a bystander, and an endpoint that lives has not ended", t, func() {
+	Convey("A request that is answered completely is cleared, and the end of an endpoint that is alive is retracted", t, func() {
 		l := &Ledger{}
 		bystander := fingerprintOf("POST", "/brief/1", "ward", "bystander")
 		noteEnds(l, deadly, 3, start)
@@ -61,7 +61,7 @@
 }
 
 func TestBoundedMemory(t *testing.T) {
-	Convey("However many bodies a caller sends, memory is bounded, and the worst are kept", t, func() {
+	Convey("However many bodies a caller sends, memory is bounded, and the requests with most ends are kept", t, func() {
 		l := &Ledger{}
 		noteEnds(l, deadly, 3, start)
 		for i := range 3 * maxSuspects {
@@ -74,7 +74,7 @@
 		}
 		So(len(l.suspects[deadly].ends), ShouldBeLessThanOrEqualTo, maxEndsPerRequest)
 	})
-	Convey("What is old is forgotten", t, func() {
+	Convey("Old suspects expire", t, func() {
 		l := &Ledger{}
 		noteEnds(l, deadly, 3, start)
 		l.RecordEnd(fingerprintOf("POST", "/brief/1", "ward", "once"), instance(1), start)
@@ -86,7 +86,7 @@
 }
 
 func TestKeptInStore(t *testing.T) {
-	Convey("Two ends are kept, one is not, and a bystander's are forgotten", t, func() {
+	Convey("Requests with two ends are stored, with one are not, and cleared ones are deleted", t, func() {
 		l := &Ledger{}
 		noteEnds(l, deadly, 1, start)
 		So(l.TakeUnstored(10, start), ShouldBeEmpty)
@@ -106,8 +106,8 @@
 	})
 }
 
-// TestMerge holds that boxes which tell each other in any order, with any of it again, come
-// to the same verdicts, and that what one of them saw is never lost to the others.
+// TestMerge checks that boxes which exchange their ends in any order, some of them repeatedly,
+// agree, and that no end that one of them recorded is lost to the others.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const boxes = 4
@@ -151,7 +151,7 @@
 }
 
 func TestMuchNews(t *testing.T) {
-	Convey("Much news takes several messages, and all of it arrives", t, func() {
+	Convey("Many changes take several messages, and all of them arrive", t, func() {
 		from, to := &Ledger{}, &Ledger{}
 		const many = 3*maxMessageEnds + 7
 		for i := range many {
--- a/pkg/quarantine/store.go
+++ b/pkg/quarantine/store.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// storedLeast is the number of ends from which on a request is kept in the store. What all
-// boxes lose together, when they are killed at once, is then one end at most: without the
-// store, a request that came back after that ended three more endpoints each time, and with
-// the third end only, two. Bystanders with two ends are few.
+// minStoredEnds is the number of ends from which on a request is kept in the store. What is
+// lost if all boxes are killed at once is then one end at most. Without the store, a deadly
+// request that was repeated after such a loss ended three more endpoints each time, and when
+// it was stored from the third end on, two. Bystanders with two ends are few.
 const minStoredEnds = 2
 
-// Kept is what the store has of a request.
+// StoredRequest is what the store keeps of a request.
 type StoredRequest struct {
 	Fingerprint Fingerprint
-	// Ends are those that count; none means that the store is to forget the request.
+	// Ends are those that count; none means that the store is to delete the request.
 	Ends []End
 }
 
-// Outdated tells that none of the ends counts any more.
+// Outdated reports whether none of the ends counts any more.
 func (k *StoredRequest) Outdated() bool {
 	return !slices.ContainsFunc(k.Ends, func(end End) bool { return end.Age <= maxQuarantine })
 }
 
-// TakeUnstored returns what this box has to have changed in the store. What could not be
-// written is given back by PutBack.
+// TakeUnstored returns the rows that this box has to change in the store. Rows that could not
+// be written are returned with PutBack.
 func (l *Ledger) TakeUnstored(most int, now time.Time) (rows []StoredRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,8 +40,8 @@
 	return rows
 }
 
-// keptOf is what the store is to have of a fingerprint; changed is false where it neither
-// has nor needs a row. The lock is held.
+// storedRequestOf returns what the store is to keep of a fingerprint; changed is false if the
+// store neither has nor needs a row. The lock is held.
 func (l *Ledger) storedRequestOf(f Fingerprint, now time.Time) (row StoredRequest, changed bool) {
 	row.Fingerprint = f
 	known := l.suspects[f]
@@ -62,8 +62,8 @@
 	return row, true
 }
 
-// Restored has those requests written again of which the store, by its rows, has fewer ends
-// than are known here.
+// Reconcile marks the requests to be written again of which the store, by its rows, has fewer
+// ends than are known here.
 func (l *Ledger) Reconcile(rows []StoredRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// PutBack has rows that were not written taken again.
+// PutBack marks rows that were not written, so that TakeUnstored returns them again.
 func (l *Ledger) PutBack(rows []StoredRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
