--- a/pkg/gateway/cold.go
+++ b/pkg/gateway/cold.go
@@ -53,17 +53,17 @@
 	if !s.pool.HasColdLimit() {
 		return 1
 	}
-	asking := map[string]bool{}
+	askers := map[string]bool{}
 	for _, r := range s.streams {
 		if now.Sub(r.since) >= minAskerAge {
-			asking[r.box] = true
+			askers[r.box] = true
 		}
 	}
 	if s.remote == nil && now.Sub(s.aloneSince) >= minAskerAge {
-		asking[s.gateway.Settings.Name] = true
+		askers[s.gateway.Settings.Name] = true
 	}
 	fleetSize := s.gateway.fleet.CountRecent(now, lostMemberTTL) + 1
-	s.cold = coldFraction{fraction: min(1, float64(len(asking))/float64(fleetSize)), until: now.Add(coldFractionTTL)}
+	s.cold = coldFraction{fraction: min(1, float64(len(askers))/float64(fleetSize)), until: now.Add(coldFractionTTL)}
 	return s.cold.fraction
 }
 
--- a/pkg/gateway/endpoints.go
+++ b/pkg/gateway/endpoints.go
@@ -20,11 +20,11 @@
 		return
 	}
 	changes, directory := g.registry.TakeChanges()
-	renewed := catalog != g.catalog
+	configChanged := catalog != g.catalog
 	g.catalog = catalog
 	for name, service := range catalog.Services {
 		if service.Engine == nil {
-			g.updatePlain(service, directory, changes, renewed)
+			g.updatePlain(service, directory, changes, configChanged)
 			continue
 		}
 		p := g.pools[name]
@@ -35,7 +35,7 @@
 			continue
 		}
 		p.applyChanges(directory, changes)
-		if renewed {
+		if configChanged {
 			p.configure(service, catalog.Limits.TokensPerSecond)
 		}
 	}
@@ -47,11 +47,11 @@
 
 // updatePlain updates the health of a plain service's endpoints that changed, or of all if the
 // configuration changed.
-func (g *Gateway) updatePlain(service route.Service, directory *route.Directory, changes []route.Change, renewed bool) {
+func (g *Gateway) updatePlain(service route.Service, directory *route.Directory, changes []route.Change, configChanged bool) {
 	bound := service.Cold.Bound(g.Settings.ColdFactor, g.Settings.ColdExtra)
 	now := time.Now()
 	first := g.health.isEmpty()
-	if renewed {
+	if configChanged {
 		directory.Each(service.Name, func(e *route.Endpoint) bool {
 			g.health.update(e, bound, first, now)
 			return true
--- a/pkg/gateway/health.go
+++ b/pkg/gateway/health.go
@@ -139,8 +139,8 @@
 	took := max(s.meanLatency, typical).Seconds() * 1000
 	cost := took * float64(1+s.inFlight)
 	cost += s.failureRate * failureCost.Seconds() * 1000
-	if rest := s.ejectedUntil.Sub(now); rest > 0 {
-		cost += 1e6 + rest.Seconds()
+	if remaining := s.ejectedUntil.Sub(now); remaining > 0 {
+		cost += 1e6 + remaining.Seconds()
 	}
 	return cost
 }
--- a/pkg/gateway/load_test.go
+++ b/pkg/gateway/load_test.go
@@ -19,33 +19,33 @@
 }
 
 func TestOverloadedBox(t *testing.T) {
-	const well, hard = time.Millisecond, 300 * time.Millisecond
+	const shortWait, longWait = time.Millisecond, 300 * time.Millisecond
 	start := time.Unix(1000, 0)
 	Convey("A box whose work waits for the processor is not ready until it has caught up", t, func() {
 		l := load{}
-		now, began := work(&l, start, 5*time.Second, well)
+		now, began := work(&l, start, 5*time.Second, shortWait)
 		So(began, ShouldBeFalse)
-		now, began = work(&l, now, probeInterval, hard)
+		now, began = work(&l, now, probeInterval, longWait)
 		So(began, ShouldBeFalse)
-		now, began = work(&l, now, time.Second, hard)
+		now, began = work(&l, now, time.Second, longWait)
 		So(began, ShouldBeTrue)
 		So(l.isBusy(now), ShouldBeTrue)
-		now, began = work(&l, now, 2*time.Second, well)
+		now, began = work(&l, now, 2*time.Second, shortWait)
 		So(began, ShouldBeFalse)
 		So(l.isBusy(now), ShouldBeTrue)
-		now, _ = work(&l, now, 2*time.Second, well)
+		now, _ = work(&l, now, 2*time.Second, shortWait)
 		So(l.isBusy(now), ShouldBeFalse)
-		_, began = work(&l, now, time.Second, hard)
+		_, began = work(&l, now, time.Second, longWait)
 		So(began, ShouldBeTrue)
 	})
 	Convey("Callers are asked to open new connections only once the balancer has noticed", t, func() {
 		l := load{}
-		now, _ := work(&l, start, time.Second, hard)
+		now, _ := work(&l, start, time.Second, longWait)
 		So(l.isBusy(now), ShouldBeTrue)
 		So(l.isShedding(now), ShouldBeFalse)
-		now, _ = work(&l, now, balancerDelay, hard)
+		now, _ = work(&l, now, balancerDelay, longWait)
 		So(l.isShedding(now), ShouldBeTrue)
-		now, _ = work(&l, now, 10*time.Second, well)
+		now, _ = work(&l, now, 10*time.Second, shortWait)
 		So(l.isShedding(now), ShouldBeFalse)
 	})
 	Convey("Each byte that a box sends itself is measured, until the context ends", t, func() {
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -45,7 +45,7 @@
 }
 
 // decodeAsk is the inverse of encodeAsk.
-func decodeAsk(message *peerpb.Ask, router uint64, now time.Time) *dispatch.Request {
+func decodeAsk(message *peerpb.Ask, streamNumber uint64, now time.Time) *dispatch.Request {
 	req := &dispatch.Request{
 		ID:       message.ID,
 		Customer: message.Customer,
@@ -54,7 +54,7 @@
 			MaxOutput:  int(message.MaxOutput),
 			HintOutput: int(message.HintOutput),
 		},
-		Stream:        router,
+		Stream:        streamNumber,
 		Arrived:       now.Add(-time.Duration(message.Age) * time.Microsecond),
 		LatencyTarget: time.Duration(message.Aim) * time.Microsecond,
 		Deadline:      now.Add(time.Duration(message.Remaining) * time.Microsecond),
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// sampleInterval is the sampling of logged successes: one in so many.
+// sampleInterval: one in so many successes is logged.
 const sampleInterval = 16
 
 // isSampled samples requests by their ID, so that every box logs the same ones.
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -25,23 +25,23 @@
 // box; nil if it may be sent.
 func (c *call) refuseQuarantined() *request.Refusal {
 	now := time.Now()
-	verdict := c.gateway.ledger.Check(c.fingerprint, now)
-	if !verdict.Quarantined() {
+	status := c.gateway.ledger.Check(c.fingerprint, now)
+	if !status.Quarantined() {
 		return nil
 	}
-	message := fmt.Sprintf("%d endpoints ended while they ran this request; it is sent to none until its time is over", verdict.Ends)
-	return notRun(request.Quarantined, message, verdict.Until.Sub(now))
+	message := fmt.Sprintf("%d endpoints ended while they ran this request; it is sent to none until its time is over", status.Ends)
+	return notRun(request.Quarantined, message, status.Until.Sub(now))
 }
 
 // exposableEndpoints returns the endpoints that a request may be sent to. Once an endpoint has
 // ended under it, this box runs it at no more endpoints at once than may still end.
 func (c *call) exposableEndpoints(endpoints []route.Endpoint) []route.Endpoint {
-	verdict := c.gateway.ledger.Check(c.fingerprint, time.Now())
-	if verdict.Ends == 0 {
+	status := c.gateway.ledger.Check(c.fingerprint, time.Now())
+	if status.Ends == 0 {
 		return endpoints
 	}
 	running := c.gateway.attempts.endpointsRunning(c.fingerprint)
-	if len(running) < verdict.Allowed {
+	if len(running) < status.Allowed {
 		return endpoints
 	}
 	return slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !running[e.ID] })
--- a/pkg/gateway/regions.go
+++ b/pkg/gateway/regions.go
@@ -13,14 +13,14 @@
 // allowedZones returns the availability zones whose region is in every given list; an empty
 // list allows all regions. If all lists are empty, zones is nil, which means any. served is
 // false if no zone is allowed.
-func (s *Settings) allowedZones(homes ...[]string) (zones []string, served bool) {
-	homes = slices.DeleteFunc(homes, func(regions []string) bool { return len(regions) == 0 })
-	if len(homes) == 0 {
+func (s *Settings) allowedZones(regionLists ...[]string) (zones []string, served bool) {
+	regionLists = slices.DeleteFunc(regionLists, func(regions []string) bool { return len(regions) == 0 })
+	if len(regionLists) == 0 {
 		return nil, true
 	}
 	for _, zone := range slices.Sorted(maps.Keys(s.Regions)) {
-		outside := slices.ContainsFunc(homes, func(regions []string) bool {
-			return !slices.Contains(regions, s.Regions[zone])
+		outside := slices.ContainsFunc(regionLists, func(allowed []string) bool {
+			return !slices.Contains(allowed, s.Regions[zone])
 		})
 		if !outside {
 			zones = append(zones, zone)
--- a/pkg/lifecycle/rests_test.go
+++ b/pkg/lifecycle/rests_test.go
@@ -54,11 +54,11 @@
 			if rapid.IntRange(0, 9).Draw(t, "starts") == 0 {
 				born++
 			}
-			of := born - int64(rapid.IntRange(0, 1).Draw(t, "late"))
+			instance := born - int64(rapid.IntRange(0, 1).Draw(t, "late"))
 			until := now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest")) * time.Millisecond)
-			r.Add(Rest{Endpoint: "e", Born: of, Until: until}, now)
-			if until.After(latest[of]) {
-				latest[of] = until
+			r.Add(Rest{Endpoint: "e", Born: instance, Until: until}, now)
+			if until.After(latest[instance]) {
+				latest[instance] = until
 			}
 			if now.Before(latest[born]) && now.Before(latest[born]) != now.Before(r.Until("e", born)) {
 				t.Fatalf("after %s the rest of instance %d has ended, which was asked for until %s", now.Sub(start), born, latest[born].Sub(start))
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -244,8 +244,8 @@
 		return cmp.Or(cmp.Compare(a.ends, b.ends), a.last.Compare(b.last))
 	})
 	const part = 8
-	for _, one := range all[:len(all)/part] {
-		l.drop(one.fingerprint)
+	for _, oldest := range all[:len(all)/part] {
+		l.drop(oldest.fingerprint)
 	}
 }
 
--- a/pkg/quarantine/ledger_test.go
+++ b/pkg/quarantine/ledger_test.go
@@ -126,9 +126,9 @@
 			at := rapid.IntRange(0, boxes-1).Draw(t, "box")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				one := instance(rapid.IntRange(0, 5).Draw(t, "life"))
-				ledgers[at].RecordEnd(deadly, one, start)
-				seen[one] = true
+				ended := instance(rapid.IntRange(0, 5).Draw(t, "life"))
+				ledgers[at].RecordEnd(deadly, ended, start)
+				seen[ended] = true
 			case 1:
 				marks[at] = [boxes]uint64{}
 			default:
