--- a/pkg/dispatch/eligible.go
+++ b/pkg/dispatch/eligible.go
@@ -7,10 +7,10 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// SetBackoff records that an engine asked a router to send it nothing for a while. This says
+// SetRest records that an engine asked a router to send it nothing for a while. This says
 // nothing about the engine's health: other routers may send to it. It reports whether that is a
 // change.
-func (p *Pool) SetBackoff(stream uint64, rest lifecycle.Rest, now time.Time) bool {
+func (p *Pool) SetRest(stream uint64, rest lifecycle.Rest, now time.Time) bool {
 	if p.engines[rest.Endpoint] == nil {
 		return false
 	}
--- a/pkg/dispatch/refusal.go
+++ b/pkg/dispatch/refusal.go
@@ -43,11 +43,11 @@
 	retryJitter = 0.25
 )
 
-// RetryAfterBackoff returns when to retry if all endpoints that may serve a request rest: after
+// RetryAfterRest returns when to retry if all endpoints that may serve a request rest: after
 // the first rest ends in the time left, plus a fraction of it given by random, a number
 // between 0 and 1. The endpoints that rejected so many requests would reject them again if they
 // all came back at once.
-func RetryAfterBackoff(left time.Duration, random float64) time.Duration {
+func RetryAfterRest(left time.Duration, random float64) time.Duration {
 	return left + time.Duration(random*retryJitter*float64(left))
 }
 
@@ -60,7 +60,7 @@
 // answered in time.
 func (p *Pool) retryAfter(a *account, req *Request, over bool, now time.Time) time.Duration {
 	if left := p.earliestRestEnd(req, now).Sub(now); left > 0 {
-		return RetryAfterBackoff(left, p.Rand.Float64())
+		return RetryAfterRest(left, p.Rand.Float64())
 	}
 	wait := p.timeUntilRoom(a, req, over, now)
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
--- a/pkg/dispatch/rest_simulation_test.go
+++ b/pkg/dispatch/rest_simulation_test.go
@@ -277,11 +277,11 @@
 	if s.reporting != reportedOnce {
 		return
 	}
-	s.pool.SetBackoff(box.number, rest, s.now)
+	s.pool.SetRest(box.number, rest, s.now)
 	for _, other := range s.boxes {
 		if s.bindsAll && other != box {
 			other.rests.Add(rest, s.now)
-			s.pool.SetBackoff(other.number, rest, s.now)
+			s.pool.SetRest(other.number, rest, s.now)
 		}
 	}
 }
@@ -319,7 +319,7 @@
 	for _, box := range s.boxes {
 		for _, rest := range box.rests.All(s.now) {
 			if s.reporting == reportedOnce {
-				s.pool.SetBackoff(box.number, rest, s.now)
+				s.pool.SetRest(box.number, rest, s.now)
 			}
 		}
 	}
--- a/pkg/dispatch/rest_test.go
+++ b/pkg/dispatch/rest_test.go
@@ -167,7 +167,7 @@
 	}
 	Convey("An engine's rest binds only the router that was asked for it", t, func() {
 		p := newTestPool(2, 0)
-		So(p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start), ShouldBeTrue)
+		So(p.SetRest(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start), ShouldBeTrue)
 		for i := range 4 {
 			So(submit(p, requestOf(1, i, start), start)[0].(Grant).Endpoint, ShouldEqual, "e1")
 		}
@@ -180,7 +180,7 @@
 	Convey("A rest goes on after the first token of an older request", t, func() {
 		p := newTestPool(2, 0)
 		first := submit(p, requestOf(1, 1, start), start)[0].(Grant)
-		p.SetBackoff(1, lifecycle.Rest{Endpoint: first.Endpoint, Until: until}, start)
+		p.SetRest(1, lifecycle.Rest{Endpoint: first.Endpoint, Until: until}, start)
 		p.Begin("1", start.Add(time.Second))
 		for i := range 4 {
 			So(submit(p, requestOf(1, 10+i, start.Add(time.Second)), start.Add(time.Second))[0].(Grant).Endpoint, ShouldNotEqual, first.Endpoint)
@@ -188,8 +188,8 @@
 	})
 	Convey("If all engines rest, a request is refused at once until the first rest ends", t, func() {
 		p := newTestPool(2, 0)
-		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start)
-		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e1", Until: until.Add(time.Second)}, start)
+		p.SetRest(1, lifecycle.Rest{Endpoint: "e0", Until: until}, start)
+		p.SetRest(1, lifecycle.Rest{Endpoint: "e1", Until: until.Add(time.Second)}, start)
 		times := map[time.Duration]bool{}
 		for i := range 20 {
 			refusal := submit(p, requestOf(1, i, start), start)[0].(Refusal)
@@ -202,25 +202,25 @@
 	})
 	Convey("A request waits for an engine whose rest ends within its maximum wait", t, func() {
 		p := newTestPool(1, 0)
-		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Until: start.Add(100 * time.Millisecond)}, start)
+		p.SetRest(1, lifecycle.Rest{Endpoint: "e0", Until: start.Add(100 * time.Millisecond)}, start)
 		So(submit(p, requestOf(1, 1, start), start), ShouldBeEmpty)
 		So(p.Decide(start.Add(100 * time.Millisecond))[0], ShouldHaveSameTypeAs, Grant{})
 	})
 	Convey("A rest ends with a new instance of the engine, and with its router's stream", t, func() {
 		p := newTestPool(1, 0)
 		p.SetEndpoints([]route.Endpoint{{ID: "e0", Service: "llm", Slots: 64, Facts: lifecycle.Facts{Born: 5}}}, start)
-		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Born: 5, Until: until}, start)
+		p.SetRest(1, lifecycle.Rest{Endpoint: "e0", Born: 5, Until: until}, start)
 		So(p.hasEligibleEngine(requestOf(1, 1, start), start), ShouldBeFalse)
 		p.SetEndpoints([]route.Endpoint{{ID: "e0", Service: "llm", Slots: 64, Facts: lifecycle.Facts{Born: 6}}}, start)
 		So(p.hasEligibleEngine(requestOf(1, 1, start), start), ShouldBeTrue)
-		p.SetBackoff(1, lifecycle.Rest{Endpoint: "e0", Born: 6, Until: until}, start)
+		p.SetRest(1, lifecycle.Rest{Endpoint: "e0", Born: 6, Until: until}, start)
 		p.DropStream(1, start)
 		So(p.hasEligibleEngine(requestOf(1, 1, start), start), ShouldBeTrue)
 		So(p.rests, ShouldBeEmpty)
 	})
 	Convey("Rests of engines that the pool does not have are ignored", t, func() {
 		p := newTestPool(1, 0)
-		So(p.SetBackoff(1, lifecycle.Rest{Endpoint: "e9", Until: until}, start), ShouldBeFalse)
+		So(p.SetRest(1, lifecycle.Rest{Endpoint: "e9", Until: until}, start), ShouldBeFalse)
 		So(p.rests, ShouldBeEmpty)
 	})
 }
--- a/pkg/gateway/granted.go
+++ b/pkg/gateway/granted.go
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.pool.SetBackoff(ownStream, rest, now)
+	s.pool.SetRest(ownStream, rest, now)
 	if s.remote != nil && s.has(rest.Endpoint) {
 		s.remote.stream.Send(encodeRest(rest, now))
 	}
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/plain.go
@@ -102,7 +102,7 @@
 func (c *call) refusePlain(endpoints []route.Endpoint) *request.Refusal {
 	now := time.Now()
 	if until := c.gateway.rests.firstEnd(endpoints, now); !until.IsZero() {
-		return notRun(request.NoEndpoint, "all endpoints of the service asked for rest", dispatch.RetryAfterBackoff(until.Sub(now), rand.Float64()))
+		return notRun(request.NoEndpoint, "all endpoints of the service asked for rest", dispatch.RetryAfterRest(until.Sub(now), rand.Float64()))
 	}
 	return notRun(request.NoEndpoint, "the service has no endpoint now", failureRetryDelay())
 }
--- a/pkg/gateway/remote.go
+++ b/pkg/gateway/remote.go
@@ -371,7 +371,7 @@
 		}, now)
 		return
 	case *peerpb.Call_Rest:
-		s.pool.SetBackoff(streamID, decodeRest(kind.Rest, now), now)
+		s.pool.SetRest(streamID, decodeRest(kind.Rest, now), now)
 		return
 	case *peerpb.Call_Served:
 		s.recordServed(streamID, kind.Served, now)
--- a/pkg/gateway/rests_test.go
+++ b/pkg/gateway/rests_test.go
@@ -57,7 +57,7 @@
 	Convey("Callers retry once the first rest has ended, and not all at the same time", t, func() {
 		times := map[time.Duration]bool{}
 		for range 20 {
-			after := dispatch.RetryAfterBackoff(2*time.Second, rand.Float64())
+			after := dispatch.RetryAfterRest(2*time.Second, rand.Float64())
 			So(after, ShouldBeBetweenOrEqual, 2*time.Second, 2500*time.Millisecond)
 			times[after] = true
 		}
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -208,7 +208,7 @@
 		s.pool.Adopt(one.ask, one.endpoint, one.begun, now)
 	}
 	for _, rest := range s.gateway.rests.active(now) {
-		s.pool.SetBackoff(ownStream, rest, now)
+		s.pool.SetRest(ownStream, rest, now)
 	}
 }
 
