--- a/cmd/quaybench/cmds/soak.go
+++ b/cmd/quaybench/cmds/soak.go
@@ -52,18 +52,18 @@
 
 func printVerdict(command *cobra.Command, run *soak.Soak, verdict soak.Verdict, clean func()) error {
 	out := command.OutOrStdout()
-	for _, line := range verdict.Broken {
+	for _, line := range verdict.Violations {
 		fmt.Fprintln(out, "broken:", line)
 	}
 	word := "passed"
-	if len(verdict.Broken) > 0 {
+	if len(verdict.Violations) > 0 {
 		word = "FAILED, logs in " + run.Dir
 	} else {
 		clean()
 	}
 	fmt.Fprintf(out, "soak seed %d: %d faults, %d requests, %d answered, %d broken: %s\n",
-		run.Seed, verdict.Faults, verdict.Requests, verdict.Answered, len(verdict.Broken), word)
-	if len(verdict.Broken) > 0 {
+		run.Seed, verdict.Faults, verdict.Requests, verdict.Answered, len(verdict.Violations), word)
+	if len(verdict.Violations) > 0 {
 		return errBroken
 	}
 	return nil
--- a/cmd/quaybench/soak/caller.go
+++ b/cmd/quaybench/soak/caller.go
@@ -20,42 +20,42 @@
 	customer int
 	box      *box
 	// life is the box's when the request was sent.
-	life        int
+	incarnation int
 	sent, ended time.Time
 	status      int
-	answered    string
+	answeredID  string
 	body        string
 	// err is set when the answer was cut or none came.
 	err error
 	// probes is the version whose route was asked for; 0 for other requests.
-	probes int
+	probedVersion int
 }
 
 // names are the routes of the four kinds.
-var names = map[standin.RouteKind]string{
+var routeNames = map[standin.RouteKind]string{
 	standin.Stream:          "brief",
 	standin.ResumableStream: "plan",
 	standin.Booking:         "book",
 	standin.Lookup:          "look",
 }
 
-var kinds = []standin.RouteKind{standin.Stream, standin.ResumableStream, standin.Booking, standin.Lookup}
+var routeKinds = []standin.RouteKind{standin.Stream, standin.ResumableStream, standin.Booking, standin.Lookup}
 
 const (
 	host = "shop.example"
 	// sharedParts is how many long parts the prompts begin with.
-	sharedParts = 20
+	sharedPrefixes = 20
 	// callerDeadline is what callers say that they wait.
 	callerDeadline = 8 * time.Second
 	// streamEvents is the number of events of a whole stream.
 	streamEvents = 15
 	// callerPatience is the longest that a caller waits for an answer.
-	callerPatience = 9 * time.Second
+	callerTimeout = 9 * time.Second
 	// callerRest is the longest time between two requests of one caller.
-	callerRest = 120 * time.Millisecond
+	maxCallerPause = 120 * time.Millisecond
 	// requestsLeast is how often a caller uses a connection, at least, unless it
 	// ends before.
-	requestsLeast = 10
+	minConnectionRequests = 10
 )
 
 // caller sends one request after the other. It keeps its connection for as long
@@ -63,35 +63,35 @@
 type caller struct {
 	world  *world
 	number int
-	draw   *rand.Rand
+	rng    *rand.Rand
 	sent   int
 
-	box    *box
-	conn   net.Conn
-	reader *bufio.Reader
-	left   int
+	box       *box
+	conn      net.Conn
+	reader    *bufio.Reader
+	remaining int
 }
 
 func newCaller(w *world, number int) *caller {
-	return &caller{world: w, number: number, draw: rand.New(rand.NewPCG(w.soak.Seed, uint64(2+number)))}
+	return &caller{world: w, number: number, rng: rand.New(rand.NewPCG(w.soak.Seed, uint64(2+number)))}
 }
 
 func (c *caller) run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.disconnect()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.connect() {
 			continue
 		}
-		c.world.note(c.call())
-		c.left--
-		if c.left <= 0 {
-			c.hangUp()
+		c.world.recordOutcome(c.call())
+		c.remaining--
+		if c.remaining <= 0 {
+			c.disconnect()
 		}
-		time.Sleep(time.Duration(c.draw.Float64() * float64(callerRest)))
+		time.Sleep(time.Duration(c.rng.Float64() * float64(maxCallerPause)))
 	}
 }
 
-func (c *caller) hangUp() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 	}
@@ -101,14 +101,14 @@
 // connect goes to a box by chance; the platform's balancer would leave out those
 // that are not ready.
 func (c *caller) connect() bool {
-	c.box = c.world.boxes[c.draw.IntN(len(c.world.boxes))]
-	conn, err := net.DialTimeout("tcp", c.box.callers, time.Second)
+	c.box = c.world.boxes[c.rng.IntN(len(c.world.boxes))]
+	conn, err := net.DialTimeout("tcp", c.box.callerAddress, time.Second)
 	if err != nil {
-		time.Sleep(callerRest)
+		time.Sleep(maxCallerPause)
 		return false
 	}
 	c.conn, c.reader = conn, bufio.NewReader(conn)
-	c.left = requestsLeast + c.draw.IntN(4*requestsLeast)
+	c.remaining = minConnectionRequests + c.rng.IntN(4*minConnectionRequests)
 	return true
 }
 
@@ -117,28 +117,28 @@
 	c.sent++
 	got = outcome{
 		id:       fmt.Sprintf("%08x%08x", c.number+1, c.sent),
-		kind:     kinds[c.draw.IntN(len(kinds))],
+		kind:     routeKinds[c.rng.IntN(len(routeKinds))],
 		customer: c.number % 2,
 		box:      c.box,
 	}
-	got.path = "/" + names[got.kind] + "/1"
-	if got.kind == standin.Lookup && c.draw.IntN(4) == 0 {
-		got.probes = c.world.newest()
-		got.path = fmt.Sprintf("/probe-%d/1", got.probes)
+	got.path = "/" + routeNames[got.kind] + "/1"
+	if got.kind == standin.Lookup && c.rng.IntN(4) == 0 {
+		got.probedVersion = c.world.newestVersion()
+		got.path = fmt.Sprintf("/probe-%d/1", got.probedVersion)
 	}
-	request := c.compose(&got)
+	request := c.buildRequest(&got)
 	defer fasthttp.ReleaseRequest(request)
-	got.life, got.sent = c.box.life(), time.Now()
+	got.incarnation, got.sent = c.box.incarnation(), time.Now()
 	got.err = c.exchange(request, &got)
 	got.ended = time.Now()
 	if got.err != nil {
-		c.hangUp()
+		c.disconnect()
 	}
 	return got
 }
 
-func (c *caller) compose(got *outcome) *fasthttp.Request {
-	ask := standin.Ask{
+func (c *caller) buildRequest(got *outcome) *fasthttp.Request {
+	call := standin.CallerRequest{
 		ID:       got.id,
 		Host:     host,
 		Path:     got.path,
@@ -146,13 +146,13 @@
 		Deadline: callerDeadline,
 	}
 	if got.kind == standin.Stream || got.kind == standin.ResumableStream {
-		ask.Shared = 1000000 + c.draw.IntN(sharedParts)
+		call.SharedPrefix = 1000000 + c.rng.IntN(sharedPrefixes)
 	}
-	return ask.Compose()
+	return call.Build()
 }
 
 func (c *caller) exchange(request *fasthttp.Request, got *outcome) error {
-	if err := c.conn.SetDeadline(time.Now().Add(callerPatience)); err != nil {
+	if err := c.conn.SetDeadline(time.Now().Add(callerTimeout)); err != nil {
 		return err
 	}
 	if _, err := request.WriteTo(c.conn); err != nil {
@@ -161,27 +161,27 @@
 	response := &fasthttp.Response{}
 	err := response.Read(c.reader)
 	got.status = response.StatusCode()
-	got.answered = standin.AnsweredID(response)
+	got.answeredID = standin.RequestIDOf(response)
 	got.body = string(response.Body())
 	if err == nil && response.ConnectionClose() {
-		c.hangUp()
+		c.disconnect()
 	}
 	return err
 }
 
-func (w *world) newest() int {
+func (w *world) newestVersion() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version
 }
 
-func (w *world) note(got outcome) {
+func (w *world) recordOutcome(got outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outcomes = append(w.outcomes, got)
 }
 
-func (w *world) count() (requests, answered int) {
+func (w *world) countOutcomes() (requests, answered int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.outcomes {
--- a/cmd/quaybench/soak/soak.go
+++ b/cmd/quaybench/soak/soak.go
@@ -37,17 +37,17 @@
 	Requests, Answered int
 	Faults             int
 	// Broken are the promises that were not kept, a line each.
-	Broken []string
+	Violations []string
 }
 
 // The times of a run.
 const (
 	// gapMost is the longest time between two faults; several overlap, as each
 	// lasts up to faultMost.
-	gapMost   = 1500 * time.Millisecond
-	faultMost = 4 * time.Second
+	maxFaultGap      = 1500 * time.Millisecond
+	maxFaultDuration = 4 * time.Second
 	// calmTime follows the last fault. Service has to be back in its second half.
-	calmTime = 12 * time.Second
+	calmPeriod = 12 * time.Second
 )
 
 // Run plays the run to its end.
@@ -70,35 +70,35 @@
 			return nil
 		})
 	}
-	verdict.Faults, err = s.breakThings(ctx, w)
+	verdict.Faults, err = s.injectFaults(ctx, w)
 	if err != nil {
 		return verdict, err
 	}
 	calmFrom := time.Now()
-	_ = interval.Wait(ctx, calmTime)
+	_ = interval.Wait(ctx, calmPeriod)
 	stopCalling()
 	_ = callers.Wait()
 	// What was answered as not run may still run later.
 	_ = interval.Wait(ctx, time.Second)
-	verdict.Requests, verdict.Answered = w.count()
-	verdict.Broken = w.check(calmFrom.Add(calmTime / 2))
+	verdict.Requests, verdict.Answered = w.countOutcomes()
+	verdict.Violations = w.check(calmFrom.Add(calmPeriod / 2))
 	return verdict, ctx.Err()
 }
 
 // breakThings begins faults at drawn moments and waits for the last to end.
-func (s *Soak) breakThings(ctx context.Context, w *world) (count int, err error) {
-	draw := rand.New(rand.NewPCG(s.Seed, 1))
+func (s *Soak) injectFaults(ctx context.Context, w *world) (count int, err error) {
+	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	faults := errgroup.Group{}
 	began := time.Now()
 	for time.Since(began) < s.Length {
-		if err := interval.Wait(ctx, time.Duration(draw.Float64()*float64(gapMost))); err != nil {
+		if err := interval.Wait(ctx, time.Duration(rng.Float64()*float64(maxFaultGap))); err != nil {
 			break
 		}
-		f := drawFault(draw, w)
-		length := time.Duration((0.1 + 0.9*draw.Float64()) * float64(faultMost))
+		f := drawFault(rng, w)
+		length := time.Duration((0.1 + 0.9*rng.Float64()) * float64(maxFaultDuration))
 		fmt.Fprintf(s.Progress, "%7.3f %s for %s\n", time.Since(began).Seconds(), f, length.Round(time.Millisecond))
 		count++
-		faults.Go(func() error { return trace.Wrap(play(ctx, w, f, length), "playing %s", f) })
+		faults.Go(func() error { return trace.Wrap(inject(ctx, w, f, length), "playing %s", f) })
 	}
 	return count, faults.Wait()
 }
--- a/cmd/quaybench/soak/soak_test.go
+++ b/cmd/quaybench/soak/soak_test.go
@@ -21,7 +21,7 @@
 		}
 		verdict, err := run.Run(t.Context())
 		So(err, ShouldBeNil)
-		So(verdict.Broken, ShouldBeEmpty)
+		So(verdict.Violations, ShouldBeEmpty)
 		So(verdict.Faults, ShouldBeGreaterThan, 0)
 		So(verdict.Answered, ShouldBeGreaterThan, 0)
 	})
--- a/cmd/quaybench/soak/world.go
+++ b/cmd/quaybench/soak/world.go
@@ -32,40 +32,40 @@
 	mu      sync.Mutex
 	servers []*server
 	// made counts the servers so far, for their names.
-	made    int
-	version int
+	serverCount int
+	version     int
 	// accepted is when each version of the configuration was accepted.
-	accepted map[int]time.Time
-	outcomes []outcome
+	acceptedAt map[int]time.Time
+	outcomes   []outcome
 	// troubles are when something that all boxes share may have been out of order.
-	troubles spans
+	sharedFaultTimes spans
 	// linkTroubles are when the way to some server may have been broken.
-	linkTroubles spans
+	linkFaultTimes spans
 }
 
 // box is one router process.
 type box struct {
 	fleet.Process
-	callers, ready string
+	callerAddress, readyAddress string
 
 	mu sync.Mutex
 	// lives counts its starts.
-	lives int
+	starts int
 	// troubles are when it may have been out of order; planned stops are none.
-	troubles spans
+	faultTimes spans
 	// stops are its planned stops.
 	stops []stop
 	// signals serializes what is done to the process.
-	signals sync.Mutex
+	processMu sync.Mutex
 }
 
 // server is one stand-in of an endpoint, behind a proxy.
 type server struct {
 	*standin.Server
 	// reached is the proxy's address.
-	reached string
+	proxyAddress string
 	// left is when it said that it leaves; zero before.
-	left time.Time
+	leftAt time.Time
 }
 
 const (
@@ -73,12 +73,12 @@
 	plainServers = 3
 	engineSlots  = 32
 	// longestStop is the time that a planned stop may take.
-	longestStop = 6 * time.Second
+	maxStopDuration = 6 * time.Second
 )
 
 func newWorld(s *Soak) (w *world, err error) {
 	defer func() { err = trace.Wrap(err, "setting up the fleet") }()
-	w = &world{soak: s, truth: &standin.Truth{}, grid: fault.NewGrid(), accepted: map[int]time.Time{}}
+	w = &world{soak: s, truth: &standin.Truth{}, grid: fault.NewGrid(), acceptedAt: map[int]time.Time{}}
 	w.store, err = standin.NewStore("127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 	}
-	if err := w.accept(); err != nil {
+	if err := w.writeConfiguration(); err != nil {
 		return nil, err
 	}
 	for i := range s.Boxes {
@@ -108,57 +108,57 @@
 // addServer starts a server and writes its entry.
 func (w *world) addServer(service string) error {
 	w.mu.Lock()
-	w.made++
-	id := fmt.Sprintf("%s-%d", service, w.made)
+	w.serverCount++
+	id := fmt.Sprintf("%s-%d", service, w.serverCount)
 	w.mu.Unlock()
-	s := &server{Server: &standin.Server{ID: id, Service: service, Zone: "zone-a", Truth: w.truth, Deadly: deadlyMark}}
-	s.Ended = func() { w.group.Go(func() error { return w.replace(s) }) }
-	s.Slots, s.Work = 8, 5*time.Millisecond
+	s := &server{Server: &standin.Server{ID: id, Service: service, Zone: "zone-a", Truth: w.truth, CrashMarker: crashMarker}}
+	s.OnCrash = func() { w.group.Go(func() error { return w.replaceServer(s) }) }
+	s.Slots, s.RunDuration = 8, 5*time.Millisecond
 	if service == "llm" {
-		s.Slots, s.Work, s.Events, s.Pause = engineSlots, 20*time.Millisecond, streamEvents, 10*time.Millisecond
+		s.Slots, s.RunDuration, s.Events, s.EventInterval = engineSlots, 20*time.Millisecond, streamEvents, 10*time.Millisecond
 	}
 	if err := s.Open("127.0.0.1:0"); err != nil {
 		return err
 	}
 	w.group.Go(s.Run)
-	reached, err := w.grid.Add(id, s.Address())
+	proxyAddress, err := w.grid.Add(id, s.Address())
 	if err != nil {
 		return err
 	}
-	s.reached = reached
+	s.proxyAddress = proxyAddress
 	w.mu.Lock()
 	w.servers = append(w.servers, s)
 	w.mu.Unlock()
-	return w.store.Register(s.Server, s.reached, false)
+	return w.store.Register(s.Server, s.proxyAddress, false)
 }
 
 // accept has the operator accept a new configuration. Each version has a route of
 // its own, and those of the versions before it, so that callers can tell which is
 // in force.
-func (w *world) accept() error {
+func (w *world) writeConfiguration() error {
 	w.mu.Lock()
 	w.version++
 	version := w.version
 	w.mu.Unlock()
-	route := func(name, service string, kind standin.RouteKind, limit, aim time.Duration, attempts int) standin.Route {
+	route := func(name, service string, kind standin.RouteKind, timeout, latencyTarget time.Duration, attempts int) standin.Route {
 		return standin.Route{
 			Name: name, Host: host, Path: "/" + name + "/", Service: service,
-			Kind: kind, Limit: limit, Aim: aim, Attempts: attempts,
+			Kind: kind, Timeout: timeout, LatencyTarget: latencyTarget, Attempts: attempts,
 		}
 	}
 	lookup := func(name string) standin.Route {
 		return route(name, "api", standin.Lookup, 2*time.Second, 150*time.Millisecond, 2)
 	}
 	routes := []standin.Route{
-		route(names[standin.Stream], "llm", standin.Stream, 8*time.Second, 800*time.Millisecond, 1),
-		route(names[standin.ResumableStream], "llm", standin.ResumableStream, 8*time.Second, 800*time.Millisecond, 2),
-		route(names[standin.Booking], "api", standin.Booking, 2*time.Second, 150*time.Millisecond, 2),
-		lookup(names[standin.Lookup]),
+		route(routeNames[standin.Stream], "llm", standin.Stream, 8*time.Second, 800*time.Millisecond, 1),
+		route(routeNames[standin.ResumableStream], "llm", standin.ResumableStream, 8*time.Second, 800*time.Millisecond, 2),
+		route(routeNames[standin.Booking], "api", standin.Booking, 2*time.Second, 150*time.Millisecond, 2),
+		lookup(routeNames[standin.Lookup]),
 	}
 	for v := 1; v <= version; v++ {
 		routes = append(routes, lookup(fmt.Sprintf("probe-%d", v)))
 	}
-	err := w.store.Accept(standin.Configuration{
+	err := w.store.WriteConfiguration(standin.Configuration{
 		Version:         version * 3,
 		Routes:          routes,
 		Pools:           []standin.Pool{{Name: "llm", Slots: engineSlots}, {Name: "api"}},
@@ -167,7 +167,7 @@
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.accepted[version] = time.Now()
+	w.acceptedAt[version] = time.Now()
 	return err
 }
 
@@ -190,14 +190,14 @@
 		return err
 	}
 	file := filepath.Join(w.soak.Dir, name+".conf")
-	given := standin.BoxSettings{
-		Name: name, Zone: "zone-a", Callers: addresses[0], Ready: addresses[1],
-		PeerHost: peerHost, PeerPort: peerPort, Store: store, StopTime: longestStop,
+	boxSettings := standin.BoxSettings{
+		Name: name, Zone: "zone-a", CallerAddress: addresses[0], ReadyAddress: addresses[1],
+		PeerHost: peerHost, PeerPort: peerPort, StoreAddress: store, StopTimeout: maxStopDuration,
 	}
-	if err := os.WriteFile(file, []byte(given.Text()), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(boxSettings.Text()), 0o644); err != nil {
 		return err
 	}
-	b := &box{callers: addresses[0], ready: addresses[1], Process: fleet.Process{
+	b := &box{callerAddress: addresses[0], readyAddress: addresses[1], Process: fleet.Process{
 		Name:    name,
 		Path:    filepath.Join(w.soak.Bin, "quaylead"),
 		Args:    []string{"gateway", "--settings", file},
@@ -211,8 +211,8 @@
 
 // stop is a planned stop of one life of a box.
 type stop struct {
-	life  int
-	began time.Time
+	incarnation int
+	began       time.Time
 }
 
 // span is a time, and spans are several.
@@ -222,7 +222,7 @@
 )
 
 // touch tells whether any of them overlaps another time.
-func (s spans) touch(from, to time.Time) bool {
+func (s spans) overlaps(from, to time.Time) bool {
 	return slices.ContainsFunc(s, func(one span) bool { return one.from.Before(to) && from.Before(one.to) })
 }
 
@@ -239,45 +239,45 @@
 // start starts the process; it may be out of order until it has caught up.
 func (b *box) start() error {
 	b.mu.Lock()
-	b.lives++
+	b.starts++
 	b.mu.Unlock()
-	b.trouble(0)
+	b.recordFault(0)
 	return b.Start()
 }
 
 // settleTime is how long after the end of a fault nothing is judged by time: a
 // box has to find its peers again and read what it missed.
-const settleTime = 4 * time.Second
+const settleDelay = 4 * time.Second
 
 // trouble notes a fault of a box that begins now, and the time after it.
-func (b *box) trouble(length time.Duration) {
+func (b *box) recordFault(length time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.troubles = append(b.troubles, span{from: now, to: now.Add(length + settleTime)})
+	b.faultTimes = append(b.faultTimes, span{from: now, to: now.Add(length + settleDelay)})
 }
 
 // life is the number of the process's start.
-func (b *box) life() int {
+func (b *box) incarnation() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.lives
+	return b.starts
 }
 
 // trouble notes a fault of what all boxes share.
-func (w *world) trouble(length time.Duration) {
+func (w *world) recordSharedFault(length time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.troubles = append(w.troubles, span{from: now, to: now.Add(length + settleTime)})
+	w.sharedFaultTimes = append(w.sharedFaultTimes, span{from: now, to: now.Add(length + settleDelay)})
 }
 
 // linkTrouble notes that the way to a server is broken for a time.
-func (w *world) linkTrouble(length time.Duration) {
+func (w *world) recordLinkFault(length time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.linkTroubles = append(w.linkTroubles, span{from: now, to: now.Add(length)})
+	w.linkFaultTimes = append(w.linkFaultTimes, span{from: now, to: now.Add(length)})
 }
 
 func (w *world) awaitReady(ctx context.Context) error {
@@ -291,16 +291,16 @@
 }
 
 func (b *box) isReady() bool {
-	status, _, err := fasthttp.GetTimeout(nil, "http://"+b.ready+platform.Translator{}.ReadyPath(), time.Second)
+	status, _, err := fasthttp.GetTimeout(nil, "http://"+b.readyAddress+platform.Translator{}.ReadyPath(), time.Second)
 	return err == nil && status == fasthttp.StatusOK
 }
 
 // close ends what the soak started.
 func (w *world) close() {
 	for _, b := range w.boxes {
-		b.signals.Lock()
+		b.processMu.Lock()
 		b.Kill()
-		b.signals.Unlock()
+		b.processMu.Unlock()
 	}
 	w.mu.Lock()
 	servers := slices.Clone(w.servers)
--- a/cmd/quayctl/cmds/boxes.go
+++ b/cmd/quayctl/cmds/boxes.go
@@ -16,12 +16,12 @@
 )
 
 // askTimeout bounds one call to a box.
-const askTimeout = 3 * time.Second
+const boxTimeout = 3 * time.Second
 
 // askStatus reads a box's own account.
-func askStatus(address string) (status router.Status, err error) {
+func fetchStatus(address string) (status router.Status, err error) {
 	defer func() { err = trace.Wrap(err, "asking the box at %s", address) }()
-	code, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/status", askTimeout)
+	code, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/status", boxTimeout)
 	if err != nil {
 		return status, err
 	}
@@ -33,25 +33,25 @@
 
 // repository reaches the platform as a box does, or at the address given.
 func (o *options) repository() (repository revision.Repository, err error) {
-	reach := settings.DefaultBox().Platform
-	reach.Address = o.platformAddress
+	store := settings.DefaultBox().Platform
+	store.Address = o.platformAddress
 	if o.platformAddress == "" {
-		status, err := askStatus(o.box)
+		status, err := fetchStatus(o.box)
 		if err != nil {
 			return repository, err
 		}
-		reach = status.Platform
+		store = status.Platform
 	}
-	if reach.Address == "" {
+	if store.Address == "" {
 		return repository, &usageError{Message: "the box has no platform; give --platform"}
 	}
-	return revision.Repository{Store: &platform.Store{Settings: reach}}, nil
+	return revision.Repository{Store: &platform.Store{Settings: store}}, nil
 }
 
 // look asks a box to look at accepted settings now. A box that does not answer
 // finds them by itself a little later.
-func (o *options) look() {
-	_, _, _ = fasthttp.GetTimeout(nil, "http://"+o.box+"/look", askTimeout)
+func (o *options) requestHeadCheck() {
+	_, _, _ = fasthttp.GetTimeout(nil, "http://"+o.box+"/look", boxTimeout)
 }
 
 // boxRow is a box as `status` shows it.
@@ -69,13 +69,13 @@
 
 // allBoxes asks every box that one box knows of.
 func (o *options) allBoxes() (rows []boxRow, err error) {
-	first, err := askStatus(o.box)
+	first, err := fetchStatus(o.box)
 	if err != nil {
 		return nil, err
 	}
 	rows = append(rows, rowOf(o.box, first))
 	for _, member := range first.Members {
-		status, err := askStatus(member.OperatorAddress)
+		status, err := fetchStatus(member.OperatorAddress)
 		if err != nil {
 			rows = append(rows, boxRow{
 				Box:     member.Box,
@@ -154,10 +154,10 @@
 }
 
 func drainBox(address string) error {
-	call := &fasthttp.Request{}
-	call.Header.SetMethod(fasthttp.MethodPost)
-	call.SetRequestURI("http://" + address + "/drain")
-	return trace.Wrap(fasthttp.DoTimeout(call, &fasthttp.Response{}, askTimeout), "asking for a planned stop")
+	request := &fasthttp.Request{}
+	request.Header.SetMethod(fasthttp.MethodPost)
+	request.SetRequestURI("http://" + address + "/drain")
+	return trace.Wrap(fasthttp.DoTimeout(request, &fasthttp.Response{}, boxTimeout), "asking for a planned stop")
 }
 
 // drainEndpoint marks every endpoint of the name as leaving.
--- a/cmd/quayctl/cmds/losses.go
+++ b/cmd/quayctl/cmds/losses.go
@@ -19,7 +19,7 @@
 	// request is the ID whose lines are printed; empty prints the tables.
 	request string
 	// most is the number of rows of a table.
-	most int
+	maxRows int
 }
 
 // defaultRows fit a screen, with five tables.
@@ -39,57 +39,57 @@
 		},
 	}
 	command.Flags().StringVar(&options.request, "request", "", "print the lines of this request")
-	command.Flags().IntVar(&options.most, "rows", defaultRows, "rows of each table")
+	command.Flags().IntVar(&options.maxRows, "rows", defaultRows, "rows of each table")
 	return command
 }
 
 func (o *lossesOptions) run(out io.Writer, in io.Reader, files []string) error {
 	report := &loss.Report{}
 	var lines []loss.Line
-	take := func(line loss.Line) {
+	add := func(line loss.Line) {
 		report.Add(line)
 		if o.request != "" && line.Fields["Request"] == o.request {
 			lines = append(lines, line)
 		}
 	}
-	bad, err := readLogs(in, files, take)
+	badLines, err := readLogs(in, files, add)
 	if err != nil {
 		return err
 	}
 	if o.request == "" {
-		err = report.Write(out, o.most)
+		err = report.Write(out, o.maxRows)
 	} else {
 		printLines(out, lines)
 	}
-	if bad > 0 {
-		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", bad)
+	if badLines > 0 {
+		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", badLines)
 	}
 	return err
 }
 
 // readLogs reads files, each named like the box that wrote it, or standard input.
-func readLogs(in io.Reader, files []string, take func(loss.Line)) (bad int, err error) {
+func readLogs(in io.Reader, files []string, add func(loss.Line)) (badLines int, err error) {
 	if len(files) == 0 {
-		return loss.Read(in, "", take)
+		return loss.Read(in, "", add)
 	}
 	for _, name := range files {
-		more, err := readLog(name, take)
+		count, err := readLog(name, add)
 		if err != nil {
-			return bad, err
+			return badLines, err
 		}
-		bad += more
+		badLines += count
 	}
-	return bad, nil
+	return badLines, nil
 }
 
-func readLog(name string, take func(loss.Line)) (bad int, err error) {
+func readLog(name string, add func(loss.Line)) (badLines int, err error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return 0, err
 	}
 	defer file.Close()
 	box := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
-	return loss.Read(file, box, take)
+	return loss.Read(file, box, add)
 }
 
 func printLines(out io.Writer, lines []loss.Line) {
--- a/cmd/quayctl/cmds/print.go
+++ b/cmd/quayctl/cmds/print.go
@@ -19,13 +19,13 @@
 }
 
 // print writes a value as JSON or, by fill, as a table.
-func (o *options) print(command *cobra.Command, value any, fill func(out *table)) error {
+func (o *options) print(command *cobra.Command, value any, writeRows func(out *table)) error {
 	if o.output == "json" {
 		encoder := json.NewEncoder(command.OutOrStdout())
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	}
 	out := &table{writer: tabwriter.NewWriter(command.OutOrStdout(), 0, 0, 2, ' ', 0)}
-	fill(out)
+	writeRows(out)
 	return out.writer.Flush()
 }
--- a/cmd/quayctl/cmds/settings.go
+++ b/cmd/quayctl/cmds/settings.go
@@ -87,10 +87,10 @@
 
 // accept makes settings the next revision. A conflict names the paths in which
 // the revision that came first differs from these settings.
-func (o *options) accept(command *cobra.Command, repository revision.Repository, fleet *settings.Fleet, expect uint64, message string) error {
+func (o *options) accept(command *cobra.Command, repository revision.Repository, fleet *settings.Fleet, baseRevision uint64, message string) error {
 	head, err := repository.Accept(revision.Proposal{
 		Fleet:   fleet,
-		Expect:  expect,
+		Expect:  baseRevision,
 		Author:  o.author,
 		Message: message,
 		Nonce:   rand.Text(),
@@ -98,13 +98,13 @@
 	})
 	var conflict *revision.ConflictError
 	if errors.As(err, &conflict) {
-		return o.explain(command, repository, fleet, conflict)
+		return o.explainConflict(command, repository, fleet, conflict)
 	}
 	if err != nil {
 		return err
 	}
 	if o.platformAddress == "" {
-		o.look()
+		o.requestHeadCheck()
 	}
 	return o.print(command, head, func(out *table) {
 		out.row("REVISION", "AUTHOR", "MESSAGE")
@@ -112,7 +112,7 @@
 	})
 }
 
-func (o *options) explain(command *cobra.Command, repository revision.Repository, fleet *settings.Fleet, conflict *revision.ConflictError) error {
+func (o *options) explainConflict(command *cobra.Command, repository revision.Repository, fleet *settings.Fleet, conflict *revision.ConflictError) error {
 	if conflict.Found.Revision == 0 {
 		return conflict
 	}
@@ -145,19 +145,19 @@
 			if err != nil {
 				return err
 			}
-			follows := uint64(max(expect, 0))
+			baseRevision := uint64(max(expect, 0))
 			if expect < 0 {
 				head, _, err := repository.Head()
 				if err != nil {
 					return err
 				}
-				follows = head.Revision
+				baseRevision = head.Revision
 			}
-			if err := opts.accept(command, repository, fleet, follows, message); err != nil {
+			if err := opts.accept(command, repository, fleet, baseRevision, message); err != nil {
 				return err
 			}
 			if wait {
-				return opts.awaitInForce(command, follows+1)
+				return opts.awaitInForce(command, baseRevision+1)
 			}
 			return nil
 		},
@@ -178,25 +178,25 @@
 // awaitInForce returns when every live box has the revision in force, and
 // otherwise says which have not.
 func (o *options) awaitInForce(command *cobra.Command, number uint64) error {
-	until := time.Now().Add(waitTimeout)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		rows, err := o.allBoxes()
 		if err != nil {
 			return err
 		}
-		behind := behindOf(rows, number)
+		behind := boxesBehind(rows, number)
 		if len(behind) == 0 {
 			fmt.Fprintf(command.ErrOrStderr(), "revision %d is in force on %d boxes\n", number, len(rows))
 			return nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return trace.LimitExceeded("revision %d is accepted but not in force on %s", number, strings.Join(behind, ", "))
 		}
 		time.Sleep(waitInterval)
 	}
 }
 
-func behindOf(rows []boxRow, number uint64) (behind []string) {
+func boxesBehind(rows []boxRow, number uint64) (behind []string) {
 	for _, row := range rows {
 		if row.Revision < number {
 			behind = append(behind, row.Box)
@@ -294,11 +294,11 @@
 		}
 	}
 	sort.Strings(paths)
-	chosen := make(map[string]string, len(paths))
+	selected := make(map[string]string, len(paths))
 	for _, candidate := range paths {
-		chosen[candidate] = values[candidate]
+		selected[candidate] = values[candidate]
 	}
-	return o.print(command, chosen, func(out *table) {
+	return o.print(command, selected, func(out *table) {
 		out.row("PATH", "VALUE")
 		for _, candidate := range paths {
 			out.row(candidate, values[candidate])
--- a/cmd/quayctl/cmds/shares.go
+++ b/cmd/quayctl/cmds/shares.go
@@ -29,13 +29,13 @@
 }
 
 func writeShares(out io.Writer, in io.Reader, files []string, shares *loss.Shares) error {
-	bad, err := readLogs(in, files, shares.Add)
+	badLines, err := readLogs(in, files, shares.Add)
 	if err != nil {
 		return err
 	}
 	err = shares.Write(out)
-	if bad > 0 {
-		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", bad)
+	if badLines > 0 {
+		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", badLines)
 	}
 	return err
 }
--- a/cmd/quaylead/cmds/gateway.go
+++ b/cmd/quaylead/cmds/gateway.go
@@ -47,24 +47,24 @@
 func serveOnPlatform(ctx context.Context, file string) error {
 	buffer := &logflags.Buffer{Out: os.Stdout}
 	logs := logflags.Logs{Settings: settings.Log{Level: "info"}, Buffer: buffer}.Prepared()
-	given, err := platform.LoadSettings(file)
+	loaded, err := platform.LoadSettings(file)
 	if err != nil {
 		return err
 	}
 	metrics := &gateway.Metrics{}
 	metrics.Publish()
-	store := &platform.Store{Address: given.StoreAddress, Timeout: storeTimeout, Log: logs.For(logflags.Platform)}
+	store := &platform.Store{Address: loaded.StoreAddress, Timeout: storeTimeout, Log: logs.For(logflags.Platform)}
 	box := &gateway.Gateway{
-		Settings:   given.Box,
+		Settings:   loaded.Box,
 		Translator: platform.Translator{},
 		Store:      platform.Registry{Store: store},
 		Logs:       logs,
 		Metrics:    metrics,
 	}
-	behind, stop := context.WithCancel(context.WithoutCancel(ctx))
+	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	group := errgroup.Group{}
-	group.Go(func() error { return buffer.Run(behind) })
-	group.Go(func() error { return checkOnHangup(behind, file, logs) })
+	group.Go(func() error { return buffer.Run(background) })
+	group.Go(func() error { return checkOnHangup(background, file, logs) })
 	err = box.Run(ctx)
 	stop()
 	_ = group.Wait()
@@ -84,8 +84,8 @@
 		case <-ctx.Done():
 			return nil
 		case <-hangups:
-			given, err := platform.LoadSettings(file)
-			log.Info("settings file read again", zap.String("Store", given.StoreAddress), zap.Error(err))
+			loaded, err := platform.LoadSettings(file)
+			log.Info("settings file read again", zap.String("Store", loaded.StoreAddress), zap.Error(err))
 		}
 	}
 }
--- a/cmd/quaystand/balancer/balancer.go
+++ b/cmd/quaystand/balancer/balancer.go
@@ -31,7 +31,7 @@
 	// CheckInterval is the time between two looks at a box's readiness.
 	CheckInterval time.Duration
 
-	turn atomic.Uint64
+	next atomic.Uint64
 }
 
 // Run spreads connections until the context ends.
@@ -47,7 +47,7 @@
 		return listener.Close()
 	})
 	for _, box := range b.Boxes {
-		group.Go(func() error { return b.check(ctx, box) })
+		group.Go(func() error { return b.checkReadiness(ctx, box) })
 	}
 	group.Go(func() error {
 		for {
@@ -59,7 +59,7 @@
 				return err
 			}
 			group.Go(func() error {
-				b.carry(ctx, caller)
+				b.forward(ctx, caller)
 				return nil
 			})
 		}
@@ -67,7 +67,7 @@
 	return group.Wait()
 }
 
-func (b *Balancer) check(ctx context.Context, box *Box) error {
+func (b *Balancer) checkReadiness(ctx context.Context, box *Box) error {
 	ticker := time.NewTicker(b.CheckInterval)
 	defer ticker.Stop()
 	for {
@@ -82,10 +82,10 @@
 }
 
 // carry joins a caller's connection to the next ready box.
-func (b *Balancer) carry(ctx context.Context, caller net.Conn) {
+func (b *Balancer) forward(ctx context.Context, caller net.Conn) {
 	defer caller.Close()
 	for range b.Boxes {
-		box := b.Boxes[b.turn.Add(1)%uint64(len(b.Boxes))]
+		box := b.Boxes[b.next.Add(1)%uint64(len(b.Boxes))]
 		if !box.ready.Load() {
 			continue
 		}
@@ -93,13 +93,13 @@
 		if err != nil {
 			continue
 		}
-		join(ctx, caller, server)
+		pipe(ctx, caller, server)
 		return
 	}
 }
 
 // join copies both ways until one side ends.
-func join(ctx context.Context, caller, server net.Conn) {
+func pipe(ctx context.Context, caller, server net.Conn) {
 	defer server.Close()
 	stop := context.AfterFunc(ctx, func() {
 		caller.Close()
--- a/cmd/quaystand/cmds/commands.go
+++ b/cmd/quaystand/cmds/commands.go
@@ -153,11 +153,11 @@
 }
 
 // serve runs a stand-in until a signal, then lets it finish what it runs.
-func serve(ctx context.Context, address string, handle fasthttp.RequestHandler, leave func()) error {
+func serve(ctx context.Context, address string, handler fasthttp.RequestHandler, leave func()) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	server := &fasthttp.Server{
-		Handler:            handle,
+		Handler:            handler,
 		Name:               "quaystand",
 		MaxRequestBodySize: 16 << 20,
 		CloseOnShutdown:    true,
--- a/cmd/quaystand/engine/engine.go
+++ b/cmd/quaystand/engine/engine.go
@@ -125,7 +125,7 @@
 // serveLoad gives the newest report that is at least ReportLag old.
 func (e *Engine) serveLoad(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
-	report := e.reportNow()
+	report := e.currentReport()
 	due := time.Now().Add(-e.ReportLag)
 	for _, old := range e.reports {
 		if old.at.After(due) {
@@ -144,7 +144,7 @@
 	ctx.SetBody(body)
 }
 
-func (e *Engine) reportNow() pool.Report {
+func (e *Engine) currentReport() pool.Report {
 	return pool.Report{Running: e.running, Waiting: e.queue.Len(), Slots: e.Slots}
 }
 
@@ -152,22 +152,22 @@
 const maxReports = 256
 
 // note keeps the load as it is now, for later reports.
-func (e *Engine) note() {
-	e.reports = append(e.reports, timedReport{at: time.Now(), Report: e.reportNow()})
+func (e *Engine) recordReport() {
+	e.reports = append(e.reports, timedReport{at: time.Now(), Report: e.currentReport()})
 	if len(e.reports) > maxReports {
 		e.reports = append(e.reports[:0], e.reports[len(e.reports)/2:]...)
 	}
 }
 
 // callBody is what the engine reads of a request.
-type callBody struct {
-	Model    string          `json:"model"`
-	Stream   bool            `json:"stream"`
-	Priority int             `json:"priority"`
-	Messages json.RawMessage `json:"messages"`
-	Prompt   json.RawMessage `json:"prompt"`
-	MaxToken int             `json:"max_tokens"`
-	Options  struct {
+type requestBody struct {
+	Model     string          `json:"model"`
+	Stream    bool            `json:"stream"`
+	Priority  int             `json:"priority"`
+	Messages  json.RawMessage `json:"messages"`
+	Prompt    json.RawMessage `json:"prompt"`
+	MaxTokens int             `json:"max_tokens"`
+	Options   struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
 	Metadata struct {
@@ -179,33 +179,33 @@
 const defaultOutputTokens = 64
 
 func (e *Engine) serveModel(ctx *fasthttp.RequestCtx) {
-	var call callBody
-	if err := json.Unmarshal(ctx.PostBody(), &call); err != nil {
+	var request requestBody
+	if err := json.Unmarshal(ctx.PostBody(), &request); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	prompt := call.Messages
+	prompt := request.Messages
 	if prompt == nil {
-		prompt = call.Prompt
+		prompt = request.Prompt
 	}
-	output := call.Metadata.OutputTokens
+	output := request.Metadata.OutputTokens
 	if output == 0 {
 		output = defaultOutputTokens
 	}
-	if call.MaxToken > 0 {
-		output = min(output, call.MaxToken)
+	if request.MaxTokens > 0 {
+		output = min(output, request.MaxTokens)
 	}
 	j := &job{
 		id:       string(ctx.Request.Header.Peek("X-Request-Id")),
 		customer: string(ctx.Request.Header.Peek("X-Customer")),
-		priority: call.Priority,
+		priority: request.Priority,
 		input:    max(1, len(prompt)/endpoint.BytesPerToken),
 		output:   output,
 		admitted: make(chan struct{}),
 	}
 	ctx.Response.Header.Set("X-Request-Id", j.id)
 	e.Truth.Add(j.event(truth.Received, 0))
-	if !e.enter(j) {
+	if !e.enqueue(j) {
 		e.Truth.Add(j.event(truth.Refused, 0))
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.Response.Header.Set("X-Not-Run", "leaving")
@@ -216,21 +216,21 @@
 		return
 	}
 	prefill := e.prefill(j, prompt)
-	stream := &answer{
-		engine: e,
-		job:    j,
-		usage:  call.Options.IncludeUsage,
-		model:  call.Model,
-		next:   time.Now().Add(prefill),
-		open:   func() bool { return endpoint.IsOpen(ctx.Conn()) },
+	stream := &tokenStream{
+		engine:       e,
+		job:          j,
+		usage:        request.Options.IncludeUsage,
+		model:        request.Model,
+		next:         time.Now().Add(prefill),
+		isCallerOpen: func() bool { return endpoint.IsOpen(ctx.Conn()) },
 	}
-	if call.Stream {
+	if request.Stream {
 		ctx.SetContentType("text/event-stream")
 		ctx.Response.ImmediateHeaderFlush = true
 		ctx.SetBodyStream(stream, -1)
 		return
 	}
-	stream.serveWhole(ctx)
+	stream.serveComplete(ctx)
 }
 
 func (j *job) event(kind truth.Kind, output int) truth.Event {
@@ -245,7 +245,7 @@
 }
 
 // enter puts a request into the queue, unless the engine is leaving.
-func (e *Engine) enter(j *job) bool {
+func (e *Engine) enqueue(j *job) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.leaving {
@@ -255,7 +255,7 @@
 	j.arrival = e.arrivals
 	heap.Push(&e.queue, j)
 	e.admit()
-	e.note()
+	e.recordReport()
 	return true
 }
 
@@ -276,21 +276,21 @@
 }
 
 // leave takes a request out of the batch.
-func (e *Engine) leave(j *job) {
+func (e *Engine) finish(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
 	e.kvUsed -= j.input + j.output
 	e.admit()
-	e.note()
+	e.recordReport()
 }
 
 // goneCheck is the time between two looks whether a waiting caller is gone.
-const goneCheck = 100 * time.Millisecond
+const callerCheckInterval = 100 * time.Millisecond
 
 // awaitSlot waits in the queue; it returns false when the caller went away.
 func (e *Engine) awaitSlot(ctx *fasthttp.RequestCtx, j *job) bool {
-	ticker := time.NewTicker(goneCheck)
+	ticker := time.NewTicker(callerCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -298,7 +298,7 @@
 			return true
 		case <-ticker.C:
 		}
-		if !endpoint.IsOpen(ctx.Conn()) && e.abandon(j) {
+		if !endpoint.IsOpen(ctx.Conn()) && e.removeQueued(j) {
 			e.Truth.Add(j.event(truth.Cancelled, 0))
 			return false
 		}
@@ -306,14 +306,14 @@
 }
 
 // abandon takes a request out of the queue, unless it was admitted meanwhile.
-func (e *Engine) abandon(j *job) bool {
+func (e *Engine) removeQueued(j *job) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if j.index < 0 {
 		return false
 	}
 	heap.Remove(&e.queue, j.index)
-	e.note()
+	e.recordReport()
 	return true
 }
 
@@ -328,11 +328,11 @@
 	defer e.mu.Unlock()
 	cached := e.cache.use(hash.Sum64(), j.input, e.CacheTokens)
 	seconds := float64(j.input-cached) / e.PrefillRate
-	return e.slowed(time.Duration(seconds * float64(time.Second)))
+	return e.scaled(time.Duration(seconds * float64(time.Second)))
 }
 
 // slowed stretches a duration by the load of the batch.
-func (e *Engine) slowed(length time.Duration) time.Duration {
+func (e *Engine) scaled(length time.Duration) time.Duration {
 	factor := 1 + 0.5*float64(e.running)/float64(e.Slots)
 	if e.slowness > 0 {
 		factor *= e.slowness
@@ -340,8 +340,8 @@
 	return time.Duration(float64(length) * factor)
 }
 
-func (e *Engine) tokenTime() time.Duration {
+func (e *Engine) tokenInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.slowed(e.DecodeInterval)
+	return e.scaled(e.DecodeInterval)
 }
--- a/cmd/quaystand/engine/answer.go
+++ b/cmd/quaystand/engine/stream.go
@@ -13,13 +13,13 @@
 
 // answer writes one request's tokens, each at its time. It is read by the
 // server, and closed by it when the caller went away.
-type answer struct {
-	engine *Engine
-	job    *job
-	usage  bool
-	model  string
-	next   time.Time
-	open   func() bool
+type tokenStream struct {
+	engine       *Engine
+	job          *job
+	usage        bool
+	model        string
+	next         time.Time
+	isCallerOpen func() bool
 
 	written int
 	pending []byte
@@ -28,50 +28,50 @@
 }
 
 // Read waits for the next token and gives its event.
-func (a *answer) Read(p []byte) (int, error) {
-	if len(a.pending) == 0 {
-		if a.ended {
+func (s *tokenStream) Read(p []byte) (int, error) {
+	if len(s.pending) == 0 {
+		if s.ended {
 			return 0, io.EOF
 		}
-		if err := a.step(); err != nil {
+		if err := s.prepareNext(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, a.pending)
-	a.pending = a.pending[n:]
+	n := copy(p, s.pending)
+	s.pending = s.pending[n:]
 	return n, nil
 }
 
 // step makes the next event: a token, or the end.
-func (a *answer) step() error {
-	if a.written == a.job.output {
-		a.pending = a.ending()
-		a.ended = true
+func (s *tokenStream) prepareNext() error {
+	if s.written == s.job.output {
+		s.pending = s.finalEvents()
+		s.ended = true
 		return nil
 	}
-	if err := a.await(); err != nil {
+	if err := s.awaitToken(); err != nil {
 		return err
 	}
-	a.written++
-	if a.written == 1 {
-		a.engine.Truth.Add(a.job.event(truth.First, 1))
+	s.written++
+	if s.written == 1 {
+		s.engine.Truth.Add(s.job.event(truth.First, 1))
 	}
-	a.pending = fmt.Appendf(nil,
+	s.pending = fmt.Appendf(nil,
 		"data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n",
-		a.job.id, a.model, token(a.job.id, a.written))
-	a.next = a.next.Add(a.engine.tokenTime())
+		s.job.id, s.model, token(s.job.id, s.written))
+	s.next = s.next.Add(s.engine.tokenInterval())
 	return nil
 }
 
 // await sleeps until the next token's time, and ends when the caller is gone.
-func (a *answer) await() error {
+func (s *tokenStream) awaitToken() error {
 	for {
-		left := time.Until(a.next)
+		left := time.Until(s.next)
 		if left <= 0 {
 			return nil
 		}
-		time.Sleep(min(left, goneCheck))
-		if left > goneCheck && !a.open() {
+		time.Sleep(min(left, callerCheckInterval))
+		if left > callerCheckInterval && !s.isCallerOpen() {
 			return io.ErrClosedPipe
 		}
 	}
@@ -83,56 +83,56 @@
 	return fmt.Sprintf("%s:%d ", id, n)
 }
 
-func (a *answer) ending() []byte {
+func (s *tokenStream) finalEvents() []byte {
 	var end strings.Builder
-	if a.usage {
+	if s.usage {
 		fmt.Fprintf(&end,
 			"data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[],\"usage\":%s}\n\n",
-			a.job.id, a.model, a.usageText())
+			s.job.id, s.model, s.usageJSON())
 	}
 	end.WriteString("data: [DONE]\n\n")
 	return []byte(end.String())
 }
 
-func (a *answer) usageText() string {
+func (s *tokenStream) usageJSON() string {
 	return fmt.Sprintf("{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"total_tokens\":%d}",
-		a.job.input, a.written, a.job.input+a.written)
+		s.job.input, s.written, s.job.input+s.written)
 }
 
 // Close ends the request, whole or cancelled.
-func (a *answer) Close() error {
-	if a.closed {
+func (s *tokenStream) Close() error {
+	if s.closed {
 		return nil
 	}
-	a.closed = true
+	s.closed = true
 	kind := truth.Cancelled
-	if a.ended {
+	if s.ended {
 		kind = truth.Finished
 	}
-	a.engine.Truth.Add(a.job.event(kind, a.written))
-	a.engine.leave(a.job)
+	s.engine.Truth.Add(s.job.event(kind, s.written))
+	s.engine.finish(s.job)
 	return nil
 }
 
 // serveWhole writes the answer in one piece.
-func (a *answer) serveWhole(ctx *fasthttp.RequestCtx) {
-	defer a.Close()
+func (s *tokenStream) serveComplete(ctx *fasthttp.RequestCtx) {
+	defer s.Close()
 	var text strings.Builder
-	for a.written < a.job.output {
-		if a.await() != nil {
+	for s.written < s.job.output {
+		if s.awaitToken() != nil {
 			ctx.SetConnectionClose()
 			return
 		}
-		a.written++
-		if a.written == 1 {
-			a.engine.Truth.Add(a.job.event(truth.First, 1))
+		s.written++
+		if s.written == 1 {
+			s.engine.Truth.Add(s.job.event(truth.First, 1))
 		}
-		text.WriteString(token(a.job.id, a.written))
-		a.next = a.next.Add(a.engine.tokenTime())
+		text.WriteString(token(s.job.id, s.written))
+		s.next = s.next.Add(s.engine.tokenInterval())
 	}
-	a.ended = true
+	s.ended = true
 	ctx.SetContentType("application/json")
 	fmt.Fprintf(ctx,
 		"{\"id\":%q,\"object\":\"chat.completion\",\"model\":%q,\"choices\":[{\"index\":0,\"message\":{\"role\":\"assistant\",\"content\":%q},\"finish_reason\":\"stop\"}],\"usage\":%s}",
-		a.job.id, a.model, text.String(), a.usageText())
+		s.job.id, s.model, text.String(), s.usageJSON())
 }
--- a/cmd/quaystand/plain/service.go
+++ b/cmd/quaystand/plain/service.go
@@ -100,7 +100,7 @@
 		Customer: string(ctx.Request.Header.Peek("X-Customer")),
 	}
 	ctx.Response.Header.Set("X-Request-Id", id)
-	runs, admitted := s.enter(id, key)
+	runs, admitted := s.begin(id, key)
 	if !admitted {
 		event.Kind = truth.Refused
 		s.Truth.Add(event)
@@ -137,7 +137,7 @@
 }
 
 // enter counts a run, unless the service is leaving.
-func (s *Service) enter(id, key string) (runs int, admitted bool) {
+func (s *Service) begin(id, key string) (runs int, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving {
--- a/cmd/quaystand/platform/platform.go
+++ b/cmd/quaystand/platform/platform.go
@@ -38,7 +38,7 @@
 	versions int
 	lists    []timedList
 	counts   Counts
-	once     sync.Once
+	initOnce sync.Once
 	writes   *rate.Limiter
 	reads    *rate.Limiter
 }
@@ -77,7 +77,7 @@
 
 // Handle answers one HTTP call.
 func (p *Platform) Handle(ctx *fasthttp.RequestCtx) {
-	p.once.Do(p.open)
+	p.initOnce.Do(p.initialize)
 	path := string(ctx.Path())
 	switch {
 	case path == "/control":
@@ -90,7 +90,7 @@
 		p.setBoxes(ctx)
 		return
 	}
-	lose, ok := p.suffer(ctx, path)
+	lose, ok := p.applyFaults(ctx, path)
 	if !ok {
 		return
 	}
@@ -107,11 +107,11 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 	if lose {
-		p.loseAnswer(ctx)
+		p.dropConnection(ctx)
 	}
 }
 
-func (p *Platform) open() {
+func (p *Platform) initialize() {
 	p.rows = map[string]row{}
 	p.objects = map[string][]byte{}
 	p.writes = rate.NewLimiter(rate.Limit(p.WritesPerSecond), max(1, int(p.WritesPerSecond/4)))
@@ -119,11 +119,11 @@
 }
 
 // hangFor is how long a hanging call is kept.
-const hangFor = 30 * time.Second
+const hangDuration = 30 * time.Second
 
 // suffer applies the faults before a call and tells whether its answer is to
 // be lost. It returns false when the call is refused.
-func (p *Platform) suffer(ctx *fasthttp.RequestCtx, path string) (lose, ok bool) {
+func (p *Platform) applyFaults(ctx *fasthttp.RequestCtx, path string) (lose, ok bool) {
 	p.mu.Lock()
 	faults := p.faults
 	isRead := ctx.IsGet()
@@ -138,7 +138,7 @@
 	p.mu.Unlock()
 	time.Sleep(faults.Delay)
 	if faults.Hang {
-		time.Sleep(hangFor)
+		time.Sleep(hangDuration)
 	}
 	if faults.Outage || faults.Hang || (faults.ListOutage && path == "/boxes") || !limiter.Allow() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -148,7 +148,7 @@
 }
 
 // loseAnswer closes the connection in place of answering.
-func (p *Platform) loseAnswer(ctx *fasthttp.RequestCtx) {
+func (p *Platform) dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Reset()
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(closeConn)
@@ -265,12 +265,12 @@
 	}
 	for _, write := range writes {
 		p.set(rowPath(write), write.Value)
-		p.noteAccepted(write)
+		p.recordAccepted(write)
 	}
 }
 
 // noteAccepted keeps the ground truth of accepted settings.
-func (p *Platform) noteAccepted(write platform.Write) {
+func (p *Platform) recordAccepted(write platform.Write) {
 	if write.Table != revision.HeadTable {
 		return
 	}
