--- a/cmd/quaybench/experiment/operators.go
+++ b/cmd/quaybench/experiment/operators.go
@@ -118,11 +118,11 @@
 			continue
 		}
 		proposal := revision.Proposal{
-			Fleet:  r.change(random),
-			Expect: head.Revision,
-			Author: name,
-			Nonce:  crand.Text(),
-			Until:  time.Now().Add(proposalTimeout),
+			Fleet:    r.change(random),
+			Expect:   head.Revision,
+			Author:   name,
+			Nonce:    crand.Text(),
+			Deadline: time.Now().Add(proposalTimeout),
 		}
 		accepted, err := repository.Accept(proposal)
 		r.note(accepted, proposal.Nonce, err)
--- a/cmd/quayctl/cmds/settings.go
+++ b/cmd/quayctl/cmds/settings.go
@@ -89,12 +89,12 @@
 // the revision that came first differs from these settings.
 func (o *options) accept(command *cobra.Command, repository revision.Repository, fleet *settings.Fleet, baseRevision uint64, message string) error {
 	head, err := repository.Accept(revision.Proposal{
-		Fleet:   fleet,
-		Expect:  baseRevision,
-		Author:  o.author,
-		Message: message,
-		Nonce:   rand.Text(),
-		Until:   time.Now().Add(acceptTimeout),
+		Fleet:    fleet,
+		Expect:   baseRevision,
+		Author:   o.author,
+		Message:  message,
+		Nonce:    rand.Text(),
+		Deadline: time.Now().Add(acceptTimeout),
 	})
 	var conflict *revision.ConflictError
 	if errors.As(err, &conflict) {
--- a/cmd/quaylead/cmds/gateway.go
+++ b/cmd/quaylead/cmds/gateway.go
@@ -46,7 +46,7 @@
 
 func serveOnPlatform(ctx context.Context, file string) error {
 	buffer := &logflags.Buffer{Out: os.Stdout}
-	logs := logflags.Logs{Settings: settings.Log{Level: "info"}, Buffer: buffer}.Prepared()
+	logs := logflags.Logs{Settings: settings.Log{Level: "info"}, Buffer: buffer}.Cached()
 	loaded, err := platform.LoadSettings(file)
 	if err != nil {
 		return err
--- a/pkg/box/members.go
+++ b/pkg/box/members.go
@@ -32,10 +32,10 @@
 }
 
 // keepSilent is how long a silent incarnation stays listed for operators.
-const keepSilent = 10 * time.Minute
+const silentTTL = 10 * time.Minute
 
 // Heard notes a message. First messages hold everything, later ones changes.
-func (m *Members) Heard(from peer.Sender, news peer.State, first bool, now time.Time) {
+func (m *Members) HandleUpdate(from peer.Sender, update peer.State, first bool, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.members == nil {
@@ -48,16 +48,16 @@
 	}
 	member.HeardAt = now
 	member.Silent = false
-	member.Revision = news.Revision
-	member.Leaving = news.Leaving
-	for pool, state := range news.Pools {
+	member.Revision = update.Revision
+	member.Leaving = update.Leaving
+	for pool, state := range update.Pools {
 		member.Demand[pool] = state.Demand
 	}
-	m.forgetOld(now)
+	m.removeExpired(now)
 }
 
 // Silent notes that a box's session ended.
-func (m *Members) Silent(from peer.Sender) {
+func (m *Members) HandlePeerLost(from peer.Sender) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if member := m.members[from.Incarnation]; member != nil {
@@ -65,9 +65,9 @@
 	}
 }
 
-func (m *Members) forgetOld(now time.Time) {
+func (m *Members) removeExpired(now time.Time) {
 	for incarnation, member := range m.members {
-		if member.Silent && now.Sub(member.HeardAt) > keepSilent {
+		if member.Silent && now.Sub(member.HeardAt) > silentTTL {
 			delete(m.members, incarnation)
 		}
 	}
@@ -100,9 +100,9 @@
 		if member.Silent || member.Leaving {
 			continue
 		}
-		own := *member
-		own.Demand = maps.Clone(member.Demand)
-		live = append(live, own)
+		clone := *member
+		clone.Demand = maps.Clone(member.Demand)
+		live = append(live, clone)
 	}
 	return live
 }
--- a/pkg/box/members_test.go
+++ b/pkg/box/members_test.go
@@ -20,7 +20,7 @@
 	group := errgroup.Group{}
 	group.Go(func() error {
 		for i := range 20000 {
-			members.Heard(from, peer.State{Pools: map[string]peer.PoolState{"a": {Demand: i}}}, false, time.Now())
+			members.HandleUpdate(from, peer.State{Pools: map[string]peer.PoolState{"a": {Demand: i}}}, false, time.Now())
 		}
 		return nil
 	})
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -40,7 +40,7 @@
 	g := &Gateway{
 		Settings: Settings{Name: "box-0", Zone: "zone-a", Cores: 0.2},
 		Store:    catalogStore{},
-		Logs:     logflags.Logs{Settings: settings.Log{Level: "error"}}.Prepared(),
+		Logs:     logflags.Logs{Settings: settings.Log{Level: "error"}}.Cached(),
 	}
 	g.prepare()
 	g.work = &errgroup.Group{}
--- a/pkg/logflags/buffer.go
+++ b/pkg/logflags/buffer.go
@@ -20,15 +20,15 @@
 
 	dropped atomic.Int64
 	mu      sync.Mutex
-	held    bytes.Buffer
+	pending bytes.Buffer
 	// writing serializes writes to Out.
-	writing sync.Mutex
+	writeMu sync.Mutex
 }
 
 const (
 	// bufferBytes bounds the lines that wait to be written: some seconds of a
 	// busy box.
-	bufferBytes = 1 << 20
+	maxBufferBytes = 1 << 20
 	// flushInterval is the time between two writes; each costs a system call.
 	flushInterval = 100 * time.Millisecond
 )
@@ -37,20 +37,20 @@
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held.Len()+len(line) > bufferBytes {
+	if b.pending.Len()+len(line) > maxBufferBytes {
 		b.dropped.Add(1)
 		return len(line), nil
 	}
-	return b.held.Write(line)
+	return b.pending.Write(line)
 }
 
 // Sync writes what is held.
 func (b *Buffer) Sync() error {
-	b.writing.Lock()
-	defer b.writing.Unlock()
+	b.writeMu.Lock()
+	defer b.writeMu.Unlock()
 	b.mu.Lock()
-	lines := bytes.Clone(b.held.Bytes())
-	b.held.Reset()
+	lines := bytes.Clone(b.pending.Bytes())
+	b.pending.Reset()
 	b.mu.Unlock()
 	if len(lines) == 0 {
 		return nil
--- a/pkg/logflags/logflags.go
+++ b/pkg/logflags/logflags.go
@@ -34,19 +34,19 @@
 	Buffer *Buffer
 
 	// made are the loggers by category; nil makes one at each call.
-	made map[Category]*zap.Logger
+	loggers map[Category]*zap.Logger
 }
 
 // Categories are all layers.
 var Categories = []Category{Caller, Pool, Rollout, Peer, Platform, Settings, Box}
 
 // Prepared returns logs whose loggers are made once.
-func (l Logs) Prepared() Logs {
-	made := map[Category]*zap.Logger{}
+func (l Logs) Cached() Logs {
+	loggers := map[Category]*zap.Logger{}
 	for _, category := range Categories {
-		made[category] = l.For(category)
+		loggers[category] = l.For(category)
 	}
-	l.made = made
+	l.loggers = loggers
 	return l
 }
 
@@ -60,7 +60,7 @@
 
 // For returns the logger of a category.
 func (l Logs) For(category Category) *zap.Logger {
-	if logger := l.made[category]; logger != nil {
+	if logger := l.loggers[category]; logger != nil {
 		return logger
 	}
 	level := zapcore.InfoLevel
@@ -70,14 +70,14 @@
 	if slices.Contains(l.Settings.Categories, string(category)) {
 		level = zapcore.DebugLevel
 	}
-	keys := zap.NewProductionEncoderConfig()
-	keys.TimeKey = "Time"
-	keys.LevelKey = "Level"
-	keys.MessageKey = "Event"
-	keys.NameKey = "Category"
-	keys.EncodeTime = zapcore.ISO8601TimeEncoder
-	keys.EncodeDuration = zapcore.StringDurationEncoder
-	core := zapcore.NewCore(zaplogfmt.NewEncoder(keys), l.output(), level)
+	config := zap.NewProductionEncoderConfig()
+	config.TimeKey = "Time"
+	config.LevelKey = "Level"
+	config.MessageKey = "Event"
+	config.NameKey = "Category"
+	config.EncodeTime = zapcore.ISO8601TimeEncoder
+	config.EncodeDuration = zapcore.StringDurationEncoder
+	core := zapcore.NewCore(zaplogfmt.NewEncoder(config), l.output(), level)
 	return zap.New(core).Named(string(category))
 }
 
--- a/pkg/loss/line.go
+++ b/pkg/loss/line.go
@@ -29,30 +29,30 @@
 var errNoTime = errors.New("the line has no time")
 
 // mostLine bounds the length of a line.
-const mostLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Read calls take with each line of a log. It counts the lines that are none.
-func Read(from io.Reader, box string, take func(Line)) (bad int, err error) {
-	lines := bufio.NewScanner(from)
-	lines.Buffer(make([]byte, 0, 64<<10), mostLine)
+func Read(in io.Reader, box string, handle func(Line)) (malformed int, err error) {
+	lines := bufio.NewScanner(in)
+	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for lines.Scan() {
 		line, err := parse(lines.Text())
 		if err != nil {
-			bad++
+			malformed++
 			continue
 		}
 		line.Box = box
-		take(line)
+		handle(line)
 	}
-	return bad, lines.Err()
+	return malformed, lines.Err()
 }
 
 func parse(text string) (line Line, err error) {
-	at := strings.Index(text, timeField)
-	if at < 0 {
+	start := strings.Index(text, timeField)
+	if start < 0 {
 		return line, errNoTime
 	}
-	line = Line{Text: text[at:], Fields: map[string]string{}}
+	line = Line{Text: text[start:], Fields: map[string]string{}}
 	decoder := logfmt.NewDecoder(strings.NewReader(line.Text))
 	for decoder.ScanRecord() {
 		for decoder.ScanKeyval() {
--- a/pkg/loss/loss.go
+++ b/pkg/loss/loss.go
@@ -44,11 +44,11 @@
 )
 
 // statusUnavailable and its like promise that the request did not run.
-var refusals = map[string]bool{"408": true, "421": true, "429": true, "503": true}
+var refusalStatuses = map[string]bool{"408": true, "421": true, "429": true, "503": true}
 
 // Of tells what a line says of the end of a request; false where it says nothing, or
 // that it was served well.
-func Of(line *Line) (loss Loss, ok bool) {
+func Classify(line *Line) (loss Loss, ok bool) {
 	f := line.Fields
 	loss = Loss{
 		Request:  f["Request"],
@@ -86,7 +86,7 @@
 	if line.Fields["Attempts"] != "0" && by == "" {
 		cause += " (after an attempt)"
 	}
-	if refusals[line.Fields["Status"]] {
+	if refusalStatuses[line.Fields["Status"]] {
 		return Refused, cause
 	}
 	return Failed, cause
@@ -99,14 +99,14 @@
 	case line.Fields["Cause"] != "":
 		return line.Fields["Cause"]
 	case line.Fields["error"] != "":
-		return "the endpoint broke off: " + lastPart(line.Fields["error"])
+		return "the endpoint broke off: " + innermostError(line.Fields["error"])
 	default:
 		return ""
 	}
 }
 
 // lastPart is what an error wraps innermost, as the rest names addresses.
-func lastPart(text string) string {
+func innermostError(text string) string {
 	if at := strings.LastIndex(text, ": "); at >= 0 {
 		return text[at+2:]
 	}
@@ -117,14 +117,14 @@
 func lateCause(line *Line) string {
 	first, granted := line.duration("FirstAfter"), line.duration("GrantedAfter")
 	predicted := line.duration("Wait") + line.duration("Read")
-	switch at := first - granted; {
+	switch firstAfterGrant := first - granted; {
 	case line.duration("Pause") > first:
 		return "a pause between events"
-	case granted > at:
+	case granted > firstAfterGrant:
 		return "waited for an engine"
-	case predicted > at/2 && line.duration("Read") > line.duration("Wait"):
+	case predicted > firstAfterGrant/2 && line.duration("Read") > line.duration("Wait"):
 		return "reading its own prompt took long"
-	case predicted > at/2:
+	case predicted > firstAfterGrant/2:
 		return "the engine had others to read first"
 	default:
 		return "the first event came later than predicted"
--- a/pkg/loss/loss_test.go
+++ b/pkg/loss/loss_test.go
@@ -22,9 +22,9 @@
 func TestLosses(t *testing.T) {
 	Convey("Each request that was not served well is found with its cause, and nothing else", t, func() {
 		report := &Report{}
-		bad, err := Read(strings.NewReader(log), "box-1", report.Add)
+		malformed, err := Read(strings.NewReader(log), "box-1", report.Add)
 		So(err, ShouldBeNil)
-		So(bad, ShouldEqual, 1)
+		So(malformed, ShouldEqual, 1)
 		causes, routes := map[string]string{}, map[string]string{}
 		for _, loss := range report.losses {
 			causes[loss.Request] = string(loss.Outcome) + ": " + loss.Cause
@@ -40,7 +40,7 @@
 			"r6": "late: waited for an engine",
 			"r8": "failed: the endpoint answered with status 500",
 		})
-		So(report.Unknown(), ShouldAlmostEqual, 1./7)
+		So(report.UnknownFraction(), ShouldAlmostEqual, 1./7)
 		out := &strings.Builder{}
 		So(report.Write(out, 2), ShouldBeNil)
 		So(out.String(), ShouldContainSubstring, "7 requests")
--- a/pkg/loss/report.go
+++ b/pkg/loss/report.go
@@ -13,21 +13,21 @@
 type Report struct {
 	losses []Loss
 	// first is the earliest line of any kind; seconds count from it.
-	first time.Time
+	earliest time.Time
 }
 
 // Add takes a line.
 func (r *Report) Add(line Line) {
-	if r.first.IsZero() || line.Time.Before(r.first) {
-		r.first = line.Time
+	if r.earliest.IsZero() || line.Time.Before(r.earliest) {
+		r.earliest = line.Time
 	}
-	if loss, ok := Of(&line); ok {
+	if loss, ok := Classify(&line); ok {
 		r.losses = append(r.losses, loss)
 	}
 }
 
 // Unknown is the part of the losses without a cause.
-func (r *Report) Unknown() float64 {
+func (r *Report) UnknownFraction() float64 {
 	if len(r.losses) == 0 {
 		return 0
 	}
@@ -53,13 +53,13 @@
 		{"Route", func(l *Loss) string { return l.Route }},
 		{"Endpoint", func(l *Loss) string { return l.Endpoint }},
 		{"Second", func(l *Loss) string {
-			return fmt.Sprintf("%5d", int(l.Time.Sub(r.first).Seconds()))
+			return fmt.Sprintf("%5d", int(l.Time.Sub(r.earliest).Seconds()))
 		}},
 	}
 }
 
 // count is one row of a table.
-type count struct {
+type tableRow struct {
 	key       string
 	total     int
 	byOutcome map[Outcome]int
@@ -68,17 +68,17 @@
 var outcomes = []Outcome{Refused, Late, Cut, Failed}
 
 // Write prints the tables: of each grouping at most so many rows, the largest first.
-func (r *Report) Write(to io.Writer, most int) error {
-	fmt.Fprintf(to, "%d requests were refused, late, cut or failed; of %.1f in 100 the cause is unknown\n", len(r.losses), 100*r.Unknown())
+func (r *Report) Write(out io.Writer, maxRows int) error {
+	fmt.Fprintf(out, "%d requests were refused, late, cut or failed; of %.1f in 100 the cause is unknown\n", len(r.losses), 100*r.UnknownFraction())
 	for _, by := range r.groupings() {
-		fmt.Fprintln(to)
-		table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+		fmt.Fprintln(out)
+		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintf(table, "%s\tTotal\tPart", by.title)
 		for _, outcome := range outcomes {
 			fmt.Fprintf(table, "\t%s", outcome)
 		}
 		fmt.Fprintln(table)
-		for _, row := range r.rows(by.key, most) {
+		for _, row := range r.topRows(by.key, maxRows) {
 			fmt.Fprintf(table, "%s\t%d\t%.3f", row.key, row.total, float64(row.total)/float64(len(r.losses)))
 			for _, outcome := range outcomes {
 				fmt.Fprintf(table, "\t%d", row.byOutcome[outcome])
@@ -92,8 +92,8 @@
 	return nil
 }
 
-func (r *Report) rows(key func(*Loss) string, most int) []*count {
-	byKey := map[string]*count{}
+func (r *Report) topRows(key func(*Loss) string, maxRows int) []*tableRow {
+	byKey := map[string]*tableRow{}
 	for i := range r.losses {
 		name := key(&r.losses[i])
 		if name == "" {
@@ -101,18 +101,18 @@
 		}
 		row := byKey[name]
 		if row == nil {
-			row = &count{key: name, byOutcome: map[Outcome]int{}}
+			row = &tableRow{key: name, byOutcome: map[Outcome]int{}}
 			byKey[name] = row
 		}
 		row.total++
 		row.byOutcome[r.losses[i].Outcome]++
 	}
-	rows := make([]*count, 0, len(byKey))
+	rows := make([]*tableRow, 0, len(byKey))
 	for _, row := range byKey {
 		rows = append(rows, row)
 	}
-	slices.SortFunc(rows, func(a, b *count) int {
+	slices.SortFunc(rows, func(a, b *tableRow) int {
 		return cmp.Or(cmp.Compare(b.total, a.total), cmp.Compare(a.key, b.key))
 	})
-	return rows[:min(most, len(rows))]
+	return rows[:min(maxRows, len(rows))]
 }
--- a/pkg/loss/shares.go
+++ b/pkg/loss/shares.go
@@ -27,7 +27,7 @@
 
 	rows map[sharesKey]*sharesRow
 	// first is the earliest line of any kind; seconds count from it.
-	first time.Time
+	earliest time.Time
 }
 
 // sharesKey is one customer's second. It is counted from the epoch, as the earliest line
@@ -42,13 +42,13 @@
 	amounts map[string]int64
 	// deciders are the boxes that granted something, and turners those that refused
 	// something without asking.
-	deciders, turners []string
+	grantedBy, refusedBy []string
 }
 
 // Add takes a line.
 func (s *Shares) Add(line Line) {
-	if s.first.IsZero() || line.Time.Before(s.first) {
-		s.first = line.Time
+	if s.earliest.IsZero() || line.Time.Before(s.earliest) {
+		s.earliest = line.Time
 	}
 	customer := line.Fields["Customer"]
 	if line.Fields["Event"] != eventService || (len(s.Customers) > 0 && !slices.Contains(s.Customers, customer)) {
@@ -59,10 +59,10 @@
 		row.amounts[column] += line.amount(column)
 	}
 	if line.amount("Granted") > 0 {
-		row.deciders = addOnce(row.deciders, line.Box)
+		row.grantedBy = appendUnique(row.grantedBy, line.Box)
 	}
 	if line.amount("TurnedShare")+line.amount("TurnedBusy") > 0 {
-		row.turners = addOnce(row.turners, line.Box)
+		row.refusedBy = appendUnique(row.refusedBy, line.Box)
 	}
 }
 
@@ -78,7 +78,7 @@
 	return row
 }
 
-func addOnce(names []string, name string) []string {
+func appendUnique(names []string, name string) []string {
 	if slices.Contains(names, name) {
 		return names
 	}
@@ -98,7 +98,7 @@
 const kilo = 1000
 
 // Write prints a row for each customer and second, in thousands of tokens.
-func (s *Shares) Write(to io.Writer) error {
+func (s *Shares) Write(out io.Writer) error {
 	rows := make([]*sharesRow, 0, len(s.rows))
 	for _, row := range s.rows {
 		rows = append(rows, row)
@@ -106,26 +106,26 @@
 	slices.SortFunc(rows, func(a, b *sharesRow) int {
 		return cmp.Or(cmp.Compare(a.second, b.second), cmp.Compare(a.customer, b.customer))
 	})
-	fmt.Fprintln(to, "thousands of tokens, by customer and second in which something was refused")
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(out, "thousands of tokens, by customer and second in which something was refused")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "Second\tCustomer\t%s\tGrantedBy\tTurnedBy\n", strings.Join(sharesColumns, "\t"))
 	for _, row := range rows {
-		fmt.Fprintf(table, "%d\t%s", row.second-s.first.Unix(), row.customer)
+		fmt.Fprintf(table, "%d\t%s", row.second-s.earliest.Unix(), row.customer)
 		for _, column := range sharesColumns {
 			fmt.Fprintf(table, "\t%d", row.amounts[column]/kilo)
 		}
-		fmt.Fprintf(table, "\t%s\t%s\n", boxes(row.deciders), boxes(row.turners))
+		fmt.Fprintf(table, "\t%s\t%s\n", formatBoxes(row.grantedBy), formatBoxes(row.refusedBy))
 	}
 	return table.Flush()
 }
 
 // boxes names a few boxes, and counts many.
-func boxes(names []string) string {
-	const few = 3
+func formatBoxes(names []string) string {
+	const maxNamed = 3
 	switch {
 	case len(names) == 0:
 		return "-"
-	case len(names) > few:
+	case len(names) > maxNamed:
 		return fmt.Sprintf("%d boxes", len(names))
 	}
 	return strings.Join(names, ",")
--- a/pkg/loss/shares_test.go
+++ b/pkg/loss/shares_test.go
@@ -36,8 +36,8 @@
 		So(read(&Shares{Customers: []string{"camp"}}), ShouldNotContainSubstring, "ward")
 	})
 	Convey("Many boxes are counted, a few named", t, func() {
-		So(boxes(nil), ShouldEqual, "-")
-		So(boxes([]string{"a", "b"}), ShouldEqual, "a,b")
-		So(boxes([]string{"a", "b", "c", "d"}), ShouldEqual, "4 boxes")
+		So(formatBoxes(nil), ShouldEqual, "-")
+		So(formatBoxes([]string{"a", "b"}), ShouldEqual, "a,b")
+		So(formatBoxes([]string{"a", "b", "c", "d"}), ShouldEqual, "4 boxes")
 	})
 }
--- a/pkg/pool/choose.go
+++ b/pkg/pool/choose.go
@@ -17,21 +17,21 @@
 	// endpoint that probably has its prompt's beginning in its cache.
 	affinityPenalty = 0.25
 	// tieNoise spreads routers that see the same late reports.
-	tieNoise = 0.02
+	loadJitter = 0.02
 )
 
 // choose returns the endpoint that a ticket should go to, or nil when none has
 // room for it now.
-func (s *Schedule) choose(t *Ticket, now time.Time) *Endpoint {
-	var best, favourite *Endpoint
+func (s *Schedule) chooseEndpoint(t *Ticket, now time.Time) *Endpoint {
+	var best, preferred *Endpoint
 	bestLoad := math.Inf(1)
-	favouriteLoad := math.Inf(1)
-	var favouriteRank uint64
+	preferredLoad := math.Inf(1)
+	var preferredRank uint64
 	for _, endpoint := range s.inOrder {
-		if !endpoint.available(now) || s.skip(t, endpoint, now) {
+		if !endpoint.isAvailable(now) || s.shouldSkip(t, endpoint, now) {
 			continue
 		}
-		load := endpoint.load(now) + tieNoise*s.Rand.Float64()
+		load := endpoint.load(now) + loadJitter*s.Rand.Float64()
 		if endpoint.Zone != s.Zone {
 			load += zonePenalty
 		}
@@ -42,24 +42,24 @@
 		if load < bestLoad {
 			best, bestLoad = endpoint, load
 		}
-		if t.Affinity != 0 && (favourite == nil || rank > favouriteRank) {
-			favourite, favouriteLoad, favouriteRank = endpoint, load, rank
+		if t.Affinity != 0 && (preferred == nil || rank > preferredRank) {
+			preferred, preferredLoad, preferredRank = endpoint, load, rank
 		}
 	}
-	if favourite != nil && favouriteLoad <= bestLoad+affinityPenalty {
-		return favourite
+	if preferred != nil && preferredLoad <= bestLoad+affinityPenalty {
+		return preferred
 	}
 	return best
 }
 
 // skip leaves out endpoints that already failed this request, as long as
 // another one is available.
-func (s *Schedule) skip(t *Ticket, endpoint *Endpoint, now time.Time) bool {
+func (s *Schedule) shouldSkip(t *Ticket, endpoint *Endpoint, now time.Time) bool {
 	if !t.tried[endpoint.Name] {
 		return false
 	}
 	for _, other := range s.inOrder {
-		if !t.tried[other.Name] && other.available(now) {
+		if !t.tried[other.Name] && other.isAvailable(now) {
 			return true
 		}
 	}
@@ -70,16 +70,16 @@
 func (s *Schedule) hasRoom(t *Ticket, endpoint *Endpoint, now time.Time) bool {
 	if !t.Quick && s.rules.QuickSlots > 0 {
 		slots := endpoint.Slots - s.rules.QuickSlots
-		return endpoint.slow < s.demandPart(slots)
+		return endpoint.slow < s.demandShare(slots)
 	}
 	switch s.rules.SlotPolicy {
 	case settings.FixedSlots:
 		return endpoint.running < max(1, endpoint.Slots/s.liveRouters)
 	case settings.BacklogSlots:
-		return endpoint.running < s.demandPart(endpoint.Slots)
+		return endpoint.running < s.demandShare(endpoint.Slots)
 	case settings.SlackSlots:
 		if s.rules.Kind == settings.PlainPool {
-			return endpoint.running < s.demandPart(endpoint.Slots)
+			return endpoint.running < s.demandShare(endpoint.Slots)
 		}
 		return s.hasSlack(endpoint, now)
 	}
@@ -88,7 +88,7 @@
 
 // demandPart is this router's part of some slots: in proportion to its demand
 // among all routers, and at least 1.
-func (s *Schedule) demandPart(slots int) int {
+func (s *Schedule) demandShare(slots int) int {
 	own := float64(s.Demand())
 	total := own + float64(s.peerDemand)
 	if total == 0 {
@@ -103,7 +103,7 @@
 	if endpoint.running >= endpoint.Slots+s.rules.Slack {
 		return false
 	}
-	free := max(0, endpoint.Slots-endpoint.running-endpoint.others(now))
+	free := max(0, endpoint.Slots-endpoint.running-endpoint.otherRequests(now))
 	allowed := s.rules.Slack + free/s.liveRouters
 	return len(endpoint.unstarted) < allowed
 }
--- a/pkg/pool/conversions.go
+++ b/pkg/pool/conversions.go
@@ -15,7 +15,7 @@
 // State is the account that peers are told. Amounts are whole weighted tokens,
 // rounded down, so that a total never falls.
 func (s *Schedule) State(now time.Time) peer.PoolState {
-	s.noteWaiting(now)
+	s.updateMeanWaiting(now)
 	state := peer.PoolState{
 		Demand:    s.Demand(),
 		Customers: map[string]peer.CustomerState{},
@@ -37,15 +37,15 @@
 
 // Hear applies a peer's account. The first word after a start or a silence tells
 // where customers stand; the later ones tell of service given since.
-func (s *Schedule) Hear(incarnation uint64, news peer.PoolState, first bool) {
-	for customer, said := range news.Customers {
+func (s *Schedule) HandleUpdate(incarnation uint64, update peer.PoolState, first bool) {
+	for customer, reported := range update.Customers {
 		service := share.PeerService{
-			Served:      float64(said.Served),
-			Pending:     float64(said.Pending),
-			MeanWaiting: float64(said.Waiting) / waitingScale,
+			Served:      float64(reported.Served),
+			Pending:     float64(reported.Pending),
+			MeanWaiting: float64(reported.Waiting) / waitingScale,
 		}
 		if first {
-			s.Ledger.Resync(incarnation, customer, service, float64(said.Lead))
+			s.Ledger.Resync(incarnation, customer, service, float64(reported.Lead))
 			continue
 		}
 		s.Ledger.Merge(incarnation, customer, service)
--- a/pkg/pool/endpoint.go
+++ b/pkg/pool/endpoint.go
@@ -33,12 +33,12 @@
 
 	// report is the endpoint's last word on its load, reportedAt when it came,
 	// and runningAtWord what this router had running there then.
-	report        Report
-	reportedAt    time.Time
-	runningAtWord int
+	report          Report
+	reportedAt      time.Time
+	runningAtReport int
 	// saysLeaving is the endpoint's own word, listedLeaving the box list's.
-	saysLeaving   bool
-	listedLeaving bool
+	reportedLeaving bool
+	listedLeaving   bool
 	// failures counts those in a row; ejections is 0 while the endpoint is in use
 	// and counts the ejections in a row otherwise.
 	failures     int
@@ -53,17 +53,17 @@
 
 // reportAge is how long a load report counts; after it, only this router's own
 // requests are known.
-const reportAge = 3 * time.Second
+const maxReportAge = 3 * time.Second
 
 // leaving tells whether the endpoint must get no new work. Its own word, the
 // box list and the settings each suffice.
-func (e *Endpoint) leaving() bool {
-	return e.saysLeaving || e.listedLeaving || e.Leaving
+func (e *Endpoint) isLeaving() bool {
+	return e.reportedLeaving || e.listedLeaving || e.Leaving
 }
 
 // available tells whether the endpoint may be given work at all.
-func (e *Endpoint) available(now time.Time) bool {
-	if e.leaving() {
+func (e *Endpoint) isAvailable(now time.Time) bool {
+	if e.isLeaving() {
 		return false
 	}
 	if e.ejections == 0 {
@@ -73,21 +73,21 @@
 }
 
 // others estimates the requests of other routers at the endpoint.
-func (e *Endpoint) others(now time.Time) int {
-	if e.reportedAt.IsZero() || now.Sub(e.reportedAt) > reportAge {
+func (e *Endpoint) otherRequests(now time.Time) int {
+	if e.reportedAt.IsZero() || now.Sub(e.reportedAt) > maxReportAge {
 		return 0
 	}
-	return max(0, e.report.Running+e.report.Waiting-e.runningAtWord)
+	return max(0, e.report.Running+e.report.Waiting-e.runningAtReport)
 }
 
 // load is the estimated part of its slots in use; above 1 means a queue.
 func (e *Endpoint) load(now time.Time) float64 {
-	return float64(e.running+e.others(now)) / float64(e.Slots)
+	return float64(e.running+e.otherRequests(now)) / float64(e.Slots)
 }
 
 // fail counts a failure and ejects the endpoint after too many in a row, or at
 // once if it was being probed.
-func (e *Endpoint) fail(now time.Time, rules *settings.Pool) {
+func (e *Endpoint) recordFailure(now time.Time, rules *settings.Pool) {
 	e.failures++
 	e.probing = false
 	if e.failures < rules.EjectAfter && e.ejections == 0 {
@@ -99,7 +99,7 @@
 }
 
 // succeed ends a row of failures.
-func (e *Endpoint) succeed() {
+func (e *Endpoint) recordSuccess() {
 	e.failures = 0
 	e.ejections = 0
 	e.probing = false
--- a/pkg/pool/fairness_test.go
+++ b/pkg/pool/fairness_test.go
@@ -27,8 +27,8 @@
 	uses    map[string][]int
 	engines map[string]*fakeEngine
 	// cut routers exchange nothing with the others.
-	cut   map[int]bool
-	known map[[2]int]bool
+	partitioned map[int]bool
+	synced      map[[2]int]bool
 	// incarnations tell a router that started again from the one before.
 	incarnations []uint64
 	now          time.Time
@@ -38,38 +38,38 @@
 }
 
 type fakeEngine struct {
-	queue   []flight
-	running []flight
+	queue   []engineRequest
+	running []engineRequest
 }
 
 // flight is a ticket at an engine.
-type flight struct {
+type engineRequest struct {
 	*pool.Ticket
 	router int
 	output float64
 }
 
 const (
-	fakeSlots  = 4
-	maxInput   = 100
-	maxOutput  = 100
-	fakeStep   = 10 * time.Millisecond
-	gossipStep = 50
+	fakeSlots    = 4
+	maxInput     = 100
+	maxOutput    = 100
+	stepDuration = 10 * time.Millisecond
+	gossipSteps  = 50
 	// watchedSteps are many exchanges between routers.
-	watchedSteps = 1500
+	measuredSteps = 1500
 )
 
 func newFakeFleet(routers, engines, customers int, seed uint64) *fakeFleet {
 	f := &fakeFleet{
-		rules:     settings.DefaultDefaults().Pool,
-		customers: map[string]settings.Customer{},
-		uses:      map[string][]int{},
-		engines:   map[string]*fakeEngine{},
-		cut:       map[int]bool{},
-		known:     map[[2]int]bool{},
-		now:       time.Unix(0, 0),
-		service:   map[string]float64{},
-		random:    rand.New(rand.NewPCG(seed, 1)),
+		rules:       settings.DefaultDefaults().Pool,
+		customers:   map[string]settings.Customer{},
+		uses:        map[string][]int{},
+		engines:     map[string]*fakeEngine{},
+		partitioned: map[int]bool{},
+		synced:      map[[2]int]bool{},
+		now:         time.Unix(0, 0),
+		service:     map[string]float64{},
+		random:      rand.New(rand.NewPCG(seed, 1)),
 	}
 	f.rules.Endpoints = map[string]settings.Endpoint{}
 	for i := range engines {
@@ -108,34 +108,34 @@
 	s.SetPeers(len(f.schedules), 0)
 	f.schedules[router] = s
 	f.incarnations[router] += 1000
-	for pair := range f.known {
+	for pair := range f.synced {
 		if pair[0] == router || pair[1] == router {
-			delete(f.known, pair)
+			delete(f.synced, pair)
 		}
 	}
 	for _, engine := range f.engines {
-		engine.queue = without(engine.queue, router)
-		engine.running = without(engine.running, router)
+		engine.queue = withoutRouter(engine.queue, router)
+		engine.running = withoutRouter(engine.running, router)
 	}
 }
 
-func without(flights []flight, router int) (kept []flight) {
-	for _, one := range flights {
-		if one.router != router {
-			kept = append(kept, one)
+func withoutRouter(requests []engineRequest, router int) (kept []engineRequest) {
+	for _, request := range requests {
+		if request.router != router {
+			kept = append(kept, request)
 		}
 	}
 	return kept
 }
 
 func (f *fakeFleet) step(number int) {
-	f.now = f.now.Add(fakeStep)
+	f.now = f.now.Add(stepDuration)
 	f.arrive()
 	for router, s := range f.schedules {
 		for t := s.Next(f.now); t != nil; t = s.Next(f.now) {
 			engine := f.engines[t.Endpoint.Name]
 			output := float64(1 + f.random.IntN(maxOutput))
-			engine.queue = append(engine.queue, flight{Ticket: t, router: router, output: output})
+			engine.queue = append(engine.queue, engineRequest{Ticket: t, router: router, output: output})
 		}
 	}
 	for _, name := range sorted(f.engines) {
@@ -143,21 +143,21 @@
 		f.admit(engine)
 		f.finishOne(engine)
 	}
-	if number%gossipStep == 0 {
+	if number%gossipSteps == 0 {
 		f.gossip()
 	}
 }
 
 // waitingEach is more than the engines can take in a step, so that a customer is
 // never without a waiting request.
-const waitingEach = 8
+const minWaiting = 8
 
 // arrive keeps requests of each customer waiting at each router it uses.
 func (f *fakeFleet) arrive() {
 	for _, name := range sorted(f.uses) {
 		for _, router := range f.uses[name] {
 			s := f.schedules[router]
-			for s.Waiting(name) < waitingEach {
+			for s.Waiting(name) < minWaiting {
 				f.tickets++
 				s.Enqueue(&pool.Ticket{
 					Customer:    name,
@@ -203,21 +203,21 @@
 	f.schedules[done.router].Finish(done.Ticket, pool.Answered{
 		InputTokens:  done.InputTokens,
 		OutputTokens: done.output,
-		Known:        true,
+		UsageKnown:   true,
 	}, f.now)
 }
 
 func (f *fakeFleet) gossip() {
-	for from, teller := range f.schedules {
-		state := teller.State(f.now)
-		for to, listener := range f.schedules {
+	for from, sender := range f.schedules {
+		state := sender.State(f.now)
+		for to, receiver := range f.schedules {
 			pair := [2]int{from, to}
-			if from == to || f.cut[from] != f.cut[to] {
-				delete(f.known, pair)
+			if from == to || f.partitioned[from] != f.partitioned[to] {
+				delete(f.synced, pair)
 				continue
 			}
-			listener.Hear(f.incarnations[from], state, !f.known[pair])
-			f.known[pair] = true
+			receiver.HandleUpdate(f.incarnations[from], state, !f.synced[pair])
+			f.synced[pair] = true
 		}
 	}
 }
@@ -227,7 +227,7 @@
 	low, high map[[2]string]float64
 }
 
-func (g *gap) watch(f *fakeFleet) (widest float64) {
+func (g *gap) update(f *fakeFleet) (widest float64) {
 	if g.low == nil {
 		g.low, g.high = map[[2]string]float64{}, map[[2]string]float64{}
 	}
@@ -238,7 +238,7 @@
 			}
 			pair := [2]string{a, b}
 			difference := f.service[a]/f.customers[a].Share - f.service[b]/f.customers[b].Share
-			if _, seen := g.low[pair]; !seen {
+			if _, found := g.low[pair]; !found {
 				g.low[pair], g.high[pair] = difference, difference
 			}
 			g.low[pair] = math.Min(g.low[pair], difference)
@@ -260,9 +260,9 @@
 		f := newFakeFleet(1, rapid.IntRange(1, 3).Draw(t, "engines"),
 			rapid.IntRange(2, 6).Draw(t, "customers"), rapid.Uint64().Draw(t, "seed"))
 		var g gap
-		for number := range watchedSteps {
+		for number := range measuredSteps {
 			f.step(number)
-			if widest := g.watch(f); widest > f.singleQueueBound() {
+			if widest := g.update(f); widest > f.singleQueueBound() {
 				t.Fatalf("the gap is %.0f after %d steps, above %.0f", widest, number, f.singleQueueBound())
 			}
 		}
@@ -274,9 +274,9 @@
 // way, and what each router may have waiting in each engine's queue.
 func (f *fakeFleet) fleetBound() float64 {
 	perRequest := maxInput*f.rules.InputWeight + maxOutput*f.rules.OutputWeight
-	unseen := gossipStep * perRequest * float64(len(f.engines))
+	unreported := gossipSteps * perRequest * float64(len(f.engines))
 	queued := perRequest * float64(len(f.schedules)*len(f.engines)*f.rules.Slack)
-	return f.singleQueueBound() + 2*unseen + queued
+	return f.singleQueueBound() + 2*unreported + queued
 }
 
 func TestGapOfAFleetIsBounded(t *testing.T) {
@@ -284,9 +284,9 @@
 		f := newFakeFleet(rapid.IntRange(2, 5).Draw(t, "routers"), rapid.IntRange(1, 3).Draw(t, "engines"),
 			rapid.IntRange(2, 6).Draw(t, "customers"), rapid.Uint64().Draw(t, "seed"))
 		var g gap
-		for number := range watchedSteps {
+		for number := range measuredSteps {
 			f.step(number)
-			if widest := g.watch(f); widest > f.fleetBound() {
+			if widest := g.update(f); widest > f.fleetBound() {
 				t.Fatalf("the gap is %.0f after %d steps, above %.0f", widest, number, f.fleetBound())
 			}
 		}
@@ -313,12 +313,12 @@
 		for number := range 500 {
 			f.step(number)
 		}
-		f.cut[0] = true
-		apart := rapid.IntRange(100, 5000).Draw(t, "apart")
-		for number := range apart {
+		f.partitioned[0] = true
+		partitionedSteps := rapid.IntRange(100, 5000).Draw(t, "apart")
+		for number := range partitionedSteps {
 			f.step(number)
 		}
-		delete(f.cut, 0)
+		delete(f.partitioned, 0)
 		f.gossip()
 		f.restart(1)
 		f.gossip()
@@ -328,9 +328,9 @@
 		}
 		var g gap
 		bound := f.fleetBound() + f.schedules[0].Ledger.MaxLead
-		for number := range watchedSteps {
+		for number := range measuredSteps {
 			f.step(number)
-			if widest := g.watch(f); widest > bound {
+			if widest := g.update(f); widest > bound {
 				t.Fatalf("the gap is %.0f after %d steps, above %.0f", widest, number, bound)
 			}
 		}
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -46,8 +46,8 @@
 }
 
 // Finish settles an attempt at an endpoint.
-func (p *Pool) Finish(t *Ticket, how Outcome) {
-	p.Do(func(s *Schedule, now time.Time) { s.Finish(t, how, now) })
+func (p *Pool) Finish(t *Ticket, outcome Outcome) {
+	p.Do(func(s *Schedule, now time.Time) { s.Finish(t, outcome, now) })
 }
 
 // Retry puts a finished ticket back in line if the retry budget allows it.
@@ -68,15 +68,15 @@
 }
 
 // Stranded tells that a request should be taken back from its endpoint's queue.
-func (p *Pool) Stranded(t *Ticket) (stranded bool) {
-	p.Look(func(s *Schedule, now time.Time) { stranded = s.Stranded(t, now) })
+func (p *Pool) IsStranded(t *Ticket) (stranded bool) {
+	p.View(func(s *Schedule, now time.Time) { stranded = s.IsStranded(t, now) })
 	return stranded
 }
 
 // NoneAvailable tells that no endpoint can be given work, and how long until
 // one will be tried again.
 func (p *Pool) NoneAvailable() (wait time.Duration, none bool) {
-	p.Look(func(s *Schedule, now time.Time) { wait, none = s.NoneAvailable(now) })
+	p.View(func(s *Schedule, now time.Time) { wait, none = s.NoneAvailable(now) })
 	return wait, none
 }
 
@@ -92,7 +92,7 @@
 }
 
 // Look reads the schedule without granting anything.
-func (p *Pool) Look(read func(s *Schedule, now time.Time)) {
+func (p *Pool) View(read func(s *Schedule, now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	read(&p.Schedule, time.Now())
--- a/pkg/pool/queue.go
+++ b/pkg/pool/queue.go
@@ -20,41 +20,41 @@
 	// key is the customer's place, computed afresh for each decision.
 	key float64
 	// typical is a moving mean of the true output, by class.
-	typical map[string]float64
+	meanOutput map[string]float64
 
 	mean   float64
 	meanAt time.Time
 
-	lastStart time.Time
-	startGap  time.Duration
+	lastGrant         time.Time
+	meanGrantInterval time.Duration
 }
 
 const (
 	// firstOutputGuess stands for the output of a class never seen to end.
-	firstOutputGuess = 128
+	initialOutputEstimate = 128
 	// learnRate is the weight of the newest request in moving means.
-	learnRate = 0.2
+	smoothingFactor = 0.2
 	// leastRetryAfter and mostRetryAfter bound the advice to come back.
-	leastRetryAfter = time.Second
-	mostRetryAfter  = time.Minute
+	minRetryAfter = time.Second
+	maxRetryAfter = time.Minute
 )
 
-func (q *queue) length() int {
+func (q *queue) waitingCount() int {
 	return len(q.quick) + len(q.slow)
 }
 
 // push puts a ticket in line; one that comes back from an endpoint goes first,
 // since it has waited its turn.
 func (q *queue) push(t *Ticket) {
-	line := &q.slow
+	list := &q.slow
 	if t.Quick {
-		line = &q.quick
+		list = &q.quick
 	}
 	if len(t.tried) > 0 {
-		*line = slices.Insert(*line, 0, t)
+		*list = slices.Insert(*list, 0, t)
 		return
 	}
-	*line = append(*line, t)
+	*list = append(*list, t)
 }
 
 func (q *queue) remove(t *Ticket) {
@@ -67,7 +67,7 @@
 }
 
 // first is the arrival of the customer's oldest waiting ticket.
-func (q *queue) first() time.Time {
+func (q *queue) oldestArrival() time.Time {
 	switch {
 	case len(q.quick) == 0:
 		return q.slow[0].Arrived
@@ -79,13 +79,13 @@
 }
 
 // meanTime is the time over which the mean of waiting requests moves.
-const meanTime = time.Second
+const meanTimeConstant = time.Second
 
 // meanWaiting is the moving mean of the requests that wait here or in an
 // endpoint's queue.
 func (q *queue) meanWaiting(now time.Time) float64 {
-	waiting := float64(q.length() + len(q.unstarted))
-	weight := 1 - math.Exp(-float64(now.Sub(q.meanAt))/float64(meanTime))
+	waiting := float64(q.waitingCount() + len(q.unstarted))
+	weight := 1 - math.Exp(-float64(now.Sub(q.meanAt))/float64(meanTimeConstant))
 	q.mean += weight * (waiting - q.mean)
 	q.meanAt = now
 	return q.mean
@@ -98,29 +98,29 @@
 	return all
 }
 
-func (q *queue) start(now time.Time) {
+func (q *queue) recordGrant(now time.Time) {
 	q.running++
-	if !q.lastStart.IsZero() {
-		gap := now.Sub(q.lastStart)
-		q.startGap += time.Duration(learnRate * float64(gap-q.startGap))
+	if !q.lastGrant.IsZero() {
+		sinceLast := now.Sub(q.lastGrant)
+		q.meanGrantInterval += time.Duration(smoothingFactor * float64(sinceLast-q.meanGrantInterval))
 	}
-	q.lastStart = now
+	q.lastGrant = now
 }
 
 // retryAfter estimates when the line will have moved on by half.
 func (q *queue) retryAfter() time.Duration {
-	wait := q.startGap * time.Duration(q.length()) / 2
-	return min(max(wait, leastRetryAfter), mostRetryAfter)
+	wait := q.meanGrantInterval * time.Duration(q.waitingCount()) / 2
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-func (q *queue) typicalOutput(class string) float64 {
-	if typical, ok := q.typical[class]; ok {
-		return typical
+func (q *queue) expectedOutput(class string) float64 {
+	if mean, ok := q.meanOutput[class]; ok {
+		return mean
 	}
-	return firstOutputGuess
+	return initialOutputEstimate
 }
 
-func (q *queue) learn(class string, output float64) {
-	typical := q.typicalOutput(class)
-	q.typical[class] = typical + learnRate*(output-typical)
+func (q *queue) recordOutput(class string, output float64) {
+	mean := q.expectedOutput(class)
+	q.meanOutput[class] = mean + smoothingFactor*(output-mean)
 }
--- a/pkg/pool/news.go
+++ b/pkg/pool/reports.go
@@ -11,17 +11,17 @@
 	}
 	endpoint.report = report
 	endpoint.reportedAt = now
-	endpoint.runningAtWord = endpoint.running
-	endpoint.saysLeaving = report.Leaving
+	endpoint.runningAtReport = endpoint.running
+	endpoint.reportedLeaving = report.Leaving
 	if now.After(endpoint.ejectedUntil) {
-		endpoint.succeed()
+		endpoint.recordSuccess()
 	}
 	if report.Waiting > 0 {
 		return
 	}
 	for t := range endpoint.unstarted {
 		if !t.Streamed && now.Sub(t.sentAt) > s.rules.ReportInterval.Duration {
-			s.begun(t)
+			s.markStarted(t)
 		}
 	}
 }
@@ -32,12 +32,12 @@
 	if endpoint == nil || now.Before(endpoint.ejectedUntil) {
 		return
 	}
-	endpoint.fail(now, &s.rules)
+	endpoint.recordFailure(now, &s.rules)
 }
 
 // ListLeaving applies the box list's word. The list lags, so it can only take
 // work away: an endpoint that says itself that it leaves stays without.
-func (s *Schedule) ListLeaving(leaving map[string]bool) {
+func (s *Schedule) SetLeaving(leaving map[string]bool) {
 	for _, endpoint := range s.inOrder {
 		endpoint.listedLeaving = leaving[endpoint.Address]
 	}
@@ -47,10 +47,10 @@
 // until the first ejected one is tried again.
 func (s *Schedule) NoneAvailable(now time.Time) (wait time.Duration, none bool) {
 	for _, endpoint := range s.inOrder {
-		if endpoint.available(now) || endpoint.probing {
+		if endpoint.isAvailable(now) || endpoint.probing {
 			return 0, false
 		}
-		if left := endpoint.ejectedUntil.Sub(now); !endpoint.leaving() && (wait == 0 || left < wait) {
+		if left := endpoint.ejectedUntil.Sub(now); !endpoint.isLeaving() && (wait == 0 || left < wait) {
 			wait = left
 		}
 	}
--- a/pkg/pool/schedule.go
+++ b/pkg/pool/schedule.go
@@ -40,27 +40,27 @@
 	// peerDemand is what the live peers together have waiting and running.
 	peerDemand int
 	// notedAt is when the mean numbers of waiting requests were brought up to date.
-	notedAt time.Time
+	meanUpdatedAt time.Time
 	// retries is the number of retries the budget allows now.
-	retries float64
+	retryBudget float64
 }
 
 // retryBurst caps the retries that successes may save up.
-const retryBurst = 10
+const maxRetryBudget = 10
 
 // Configure applies settings. Requests in flight finish under what they began
 // with; endpoints that are gone get no new work.
 func (s *Schedule) Configure(rules settings.Pool, customers map[string]settings.Customer) {
 	s.rules = rules
 	s.customers = customers
-	s.Ledger.MaxLead = boundOf(&rules)
+	s.Ledger.MaxLead = maxLeadOf(&rules)
 	for name, customer := range customers {
 		s.Ledger.SetShare(name, customer.Share)
 	}
-	known := s.endpoints
+	previous := s.endpoints
 	s.endpoints = map[string]*Endpoint{}
 	for name, declared := range rules.Endpoints {
-		endpoint := known[name]
+		endpoint := previous[name]
 		if endpoint == nil || endpoint.Address != declared.Address {
 			endpoint = &Endpoint{Name: name, unstarted: map[*Ticket]struct{}{}}
 		}
@@ -72,18 +72,18 @@
 	})
 	if s.queues == nil {
 		s.queues = map[string]*queue{}
-		s.retries = retryBurst
+		s.retryBudget = maxRetryBudget
 		s.liveRouters = 1
 	}
 }
 
 // typicalBatchTokens stand for the answer in each slot where MergeBound is
 // derived.
-const typicalBatchTokens = 256
+const typicalAnswerTokens = 256
 
 // boundOf is the pool's MergeBound, or what it is when none is set: twice the
 // gap that a single queue would guarantee for these slots.
-func boundOf(rules *settings.Pool) float64 {
+func maxLeadOf(rules *settings.Pool) float64 {
 	if rules.MergeBound > 0 {
 		return rules.MergeBound
 	}
@@ -91,7 +91,7 @@
 	for _, endpoint := range rules.Endpoints {
 		slots += endpoint.Slots
 	}
-	return 4 * rules.OutputWeight * float64(slots) * typicalBatchTokens
+	return 4 * rules.OutputWeight * float64(slots) * typicalAnswerTokens
 }
 
 // Rules returns the pool's settings in force.
@@ -101,16 +101,16 @@
 
 // Enqueue puts a ticket in line, or refuses it when its customer's line is full.
 func (s *Schedule) Enqueue(t *Ticket, now time.Time) *request.Refusal {
-	line := s.queue(t.Customer)
-	if line.length() >= s.customers[t.Customer].QueueLength {
+	q := s.queue(t.Customer)
+	if q.waitingCount() >= s.customers[t.Customer].QueueLength {
 		return &request.Refusal{
 			Code:       request.QueueFull,
 			Message:    "the customer's queue at this router is full",
 			Run:        request.NotRun,
-			RetryAfter: line.retryAfter(),
+			RetryAfter: q.retryAfter(),
 		}
 	}
-	line.push(t)
+	q.push(t)
 	t.phase = waiting
 	s.waiting++
 	s.Ledger.Arrive(t.Customer)
@@ -136,18 +136,18 @@
 	if s.waiting == 0 {
 		return nil
 	}
-	s.noteWaiting(now)
-	lines := s.order()
-	for _, line := range lines {
-		if !s.withinShare(line) {
+	s.updateMeanWaiting(now)
+	queues := s.sortedQueues()
+	for _, q := range queues {
+		if !s.isWithinShare(q) {
 			continue
 		}
-		if t := s.take(line.quick, now); t != nil {
+		if t := s.assignFirst(q.quick, now); t != nil {
 			return t
 		}
 	}
-	for _, line := range lines {
-		if t := s.takeAny(line, now); t != nil {
+	for _, q := range queues {
+		if t := s.assignAny(q, now); t != nil {
 			return t
 		}
 	}
@@ -155,23 +155,23 @@
 }
 
 // take grants the first ticket for which an endpoint has room.
-func (s *Schedule) take(tickets []*Ticket, now time.Time) *Ticket {
+func (s *Schedule) assignFirst(tickets []*Ticket, now time.Time) *Ticket {
 	for i, t := range tickets {
 		// Tickets alike find no room where the one before found none.
 		if i > 0 && t.Quick == tickets[i-1].Quick && len(t.tried) == 0 {
 			continue
 		}
-		if endpoint := s.choose(t, now); endpoint != nil {
-			s.start(t, endpoint, now)
+		if endpoint := s.chooseEndpoint(t, now); endpoint != nil {
+			s.assign(t, endpoint, now)
 			return t
 		}
 	}
 	return nil
 }
 
-func (s *Schedule) start(t *Ticket, endpoint *Endpoint, now time.Time) {
-	line := s.queue(t.Customer)
-	line.remove(t)
+func (s *Schedule) assign(t *Ticket, endpoint *Endpoint, now time.Time) {
+	q := s.queue(t.Customer)
+	q.remove(t)
 	s.waiting--
 	t.Priority = s.priority(t)
 	t.Endpoint = endpoint
@@ -180,13 +180,13 @@
 	t.started = false
 	t.served = 0
 	t.estimate = s.estimate(t)
-	t.uncovered = t.estimate
+	t.remainingEstimate = t.estimate
 	s.Ledger.Reserve(t.Customer, t.estimate)
 	s.running++
-	line.start(now)
+	q.recordGrant(now)
 	endpoint.running++
 	endpoint.unstarted[t] = struct{}{}
-	line.unstarted[t] = struct{}{}
+	q.unstarted[t] = struct{}{}
 	if !t.Quick {
 		endpoint.slow++
 	}
@@ -200,7 +200,7 @@
 	if s.rules.Kind == settings.PlainPool {
 		return 1
 	}
-	output := s.queue(t.Customer).typicalOutput(t.Class)
+	output := s.queue(t.Customer).expectedOutput(t.Class)
 	if t.MaxOutputTokens > 0 {
 		output = min(output, t.MaxOutputTokens)
 	}
@@ -212,13 +212,13 @@
 	if t.phase != running || t.started {
 		return
 	}
-	s.begun(t)
+	s.markStarted(t)
 	if s.rules.Kind == settings.ModelPool {
-		s.serve(t, t.InputTokens*s.rules.InputWeight)
+		s.chargeService(t, t.InputTokens*s.rules.InputWeight)
 	}
 }
 
-func (s *Schedule) begun(t *Ticket) {
+func (s *Schedule) markStarted(t *Ticket) {
 	t.started = true
 	s.Ledger.Depart(t.Customer)
 	s.Ledger.Charge(t.Customer, t.estimate)
@@ -229,27 +229,27 @@
 // Stream books tokens as they are streamed.
 func (s *Schedule) Stream(t *Ticket, tokens float64) {
 	if t.phase == running {
-		s.serve(t, tokens*s.rules.OutputWeight)
+		s.chargeService(t, tokens*s.rules.OutputWeight)
 	}
 }
 
-func (s *Schedule) serve(t *Ticket, service float64) {
-	covered := min(max(service, 0), t.uncovered)
-	t.uncovered -= covered
+func (s *Schedule) chargeService(t *Ticket, service float64) {
+	covered := min(max(service, 0), t.remainingEstimate)
+	t.remainingEstimate -= covered
 	t.served += service
 	s.Ledger.Serve(t.Customer, service, covered)
 }
 
 // Finish settles an attempt. After it the ticket may be enqueued again.
-func (s *Schedule) Finish(t *Ticket, how Outcome, now time.Time) {
+func (s *Schedule) Finish(t *Ticket, outcome Outcome, now time.Time) {
 	if t.phase != running {
 		return
 	}
 	endpoint := t.Endpoint
 	if !t.started {
-		s.begun(t)
+		s.markStarted(t)
 	}
-	s.settle(t, how)
+	s.settle(t, outcome)
 	endpoint.running--
 	if !t.Quick {
 		endpoint.slow--
@@ -261,49 +261,49 @@
 		t.tried = map[string]bool{}
 	}
 	t.tried[endpoint.Name] = true
-	switch how := how.(type) {
+	switch how := outcome.(type) {
 	case Answered:
-		endpoint.succeed()
-		s.retries = min(s.retries+s.rules.RetryBudget, retryBurst)
+		endpoint.recordSuccess()
+		s.retryBudget = min(s.retryBudget+s.rules.RetryBudget, maxRetryBudget)
 	case Failed:
-		endpoint.fail(now, &s.rules)
+		endpoint.recordFailure(now, &s.rules)
 	case Declined:
 		endpoint.probing = false
-		endpoint.saysLeaving = endpoint.saysLeaving || how.Leaving
+		endpoint.reportedLeaving = endpoint.reportedLeaving || how.Leaving
 	case Moved, Abandoned:
 		endpoint.probing = false
 	}
 }
 
 // settle brings what was charged to the true cost.
-func (s *Schedule) settle(t *Ticket, how Outcome) {
-	if answered, ok := how.(Answered); ok {
-		line := s.queue(t.Customer)
+func (s *Schedule) settle(t *Ticket, outcome Outcome) {
+	if answered, ok := outcome.(Answered); ok {
+		q := s.queue(t.Customer)
 		switch {
 		case s.rules.Kind == settings.PlainPool:
-			s.serve(t, 1)
-		case answered.Known:
+			s.chargeService(t, 1)
+		case answered.UsageKnown:
 			cost := answered.InputTokens*s.rules.InputWeight + answered.OutputTokens*s.rules.OutputWeight
-			s.serve(t, cost-t.served)
-			line.learn(t.Class, answered.OutputTokens)
+			s.chargeService(t, cost-t.served)
+			q.recordOutput(t.Class, answered.OutputTokens)
 		}
 	}
-	s.Ledger.Release(t.Customer, t.uncovered)
-	t.uncovered = 0
+	s.Ledger.Release(t.Customer, t.remainingEstimate)
+	t.remainingEstimate = 0
 }
 
 // strandedAfter is how long a request waits in an endpoint's queue before it may
 // be taken back. It is longer than load reports lag.
-const strandedAfter = time.Second
+const strandedDelay = time.Second
 
 // Stranded tells that a request waits in its endpoint's queue although another
 // endpoint has a free slot, as when its own became slow.
-func (s *Schedule) Stranded(t *Ticket, now time.Time) bool {
-	if t.phase != running || t.started || !t.Streamed || now.Sub(t.sentAt) < strandedAfter {
+func (s *Schedule) IsStranded(t *Ticket, now time.Time) bool {
+	if t.phase != running || t.started || !t.Streamed || now.Sub(t.sentAt) < strandedDelay {
 		return false
 	}
 	for _, other := range s.inOrder {
-		if other == t.Endpoint || t.tried[other.Name] || !other.available(now) {
+		if other == t.Endpoint || t.tried[other.Name] || !other.isAvailable(now) {
 			continue
 		}
 		if other.load(now) < 1 && s.hasRoom(t, other, now) {
@@ -315,10 +315,10 @@
 
 // TakeRetry tells whether the retry budget allows another attempt, and books it.
 func (s *Schedule) TakeRetry() bool {
-	if s.retries < 1 {
+	if s.retryBudget < 1 {
 		return false
 	}
-	s.retries--
+	s.retryBudget--
 	return true
 }
 
@@ -328,19 +328,19 @@
 }
 
 func (s *Schedule) queue(customer string) *queue {
-	line := s.queues[customer]
-	if line == nil {
-		line = &queue{
-			customer:  customer,
-			typical:   map[string]float64{},
-			unstarted: map[*Ticket]struct{}{},
+	q := s.queues[customer]
+	if q == nil {
+		q = &queue{
+			customer:   customer,
+			meanOutput: map[string]float64{},
+			unstarted:  map[*Ticket]struct{}{},
 		}
-		s.queues[customer] = line
+		s.queues[customer] = q
 	}
-	return line
+	return q
 }
 
 // Waiting is the number of a customer's requests that wait here.
 func (s *Schedule) Waiting(customer string) int {
-	return s.queue(customer).length()
+	return s.queue(customer).waitingCount()
 }
--- a/pkg/pool/stranded_test.go
+++ b/pkg/pool/stranded_test.go
@@ -27,13 +27,13 @@
 		So(s.Next(now), ShouldEqual, ticket)
 		later := now.Add(2 * time.Second)
 		Convey("it stays while no other endpoint is free", func() {
-			So(s.Stranded(ticket, later), ShouldBeFalse)
+			So(s.IsStranded(ticket, later), ShouldBeFalse)
 		})
 		Convey("when another is free, it goes there, once it has waited long enough", func() {
 			rules.Endpoints["other"] = settings.Endpoint{Address: "other", Slots: 1}
 			s.Configure(rules, customers)
-			So(s.Stranded(ticket, now), ShouldBeFalse)
-			So(s.Stranded(ticket, later), ShouldBeTrue)
+			So(s.IsStranded(ticket, now), ShouldBeFalse)
+			So(s.IsStranded(ticket, later), ShouldBeTrue)
 			s.Finish(ticket, pool.Moved{}, later)
 			So(s.Enqueue(ticket, later), ShouldBeNil)
 			So(s.Next(later), ShouldEqual, ticket)
@@ -43,7 +43,7 @@
 			rules.Endpoints["other"] = settings.Endpoint{Address: "other", Slots: 1}
 			s.Configure(rules, customers)
 			s.Begin(ticket)
-			So(s.Stranded(ticket, later), ShouldBeFalse)
+			So(s.IsStranded(ticket, later), ShouldBeFalse)
 		})
 	})
 }
--- a/pkg/pool/ticket.go
+++ b/pkg/pool/ticket.go
@@ -32,13 +32,13 @@
 	// Priority is what the engine orders its queue by, lower first.
 	Priority int
 
-	tried     map[string]bool
-	phase     phase
-	started   bool
-	sentAt    time.Time
-	estimate  float64
-	uncovered float64
-	served    float64
+	tried             map[string]bool
+	phase             phase
+	started           bool
+	sentAt            time.Time
+	estimate          float64
+	remainingEstimate float64
+	served            float64
 }
 
 // phase is where a ticket stands in the schedule.
@@ -64,7 +64,7 @@
 	OutputTokens float64
 	// Known tells that the endpoint gave the true cost. Otherwise what was
 	// counted while streaming stands.
-	Known bool
+	UsageKnown bool
 }
 
 // Failed means that the endpoint could not be reached or broke off.
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -13,9 +13,9 @@
 // The range and precision of the histograms: a tenth of a millisecond to ten
 // minutes, two digits. One takes about 16 KB, and only pairs that occur have one.
 const (
-	unit    = 100 * time.Microsecond
-	highest = int64(10 * time.Minute / unit)
-	digits  = 2
+	resolution        = 100 * time.Microsecond
+	maxValue          = int64(10 * time.Minute / resolution)
+	significantDigits = 2
 )
 
 // Key names a histogram.
@@ -46,10 +46,10 @@
 	}
 	histogram := l.histograms[key]
 	if histogram == nil {
-		histogram = hdrhistogram.New(1, highest, digits)
+		histogram = hdrhistogram.New(1, maxValue, significantDigits)
 		l.histograms[key] = histogram
 	}
-	value := min(max(int64(latency/unit), 1), highest)
+	value := min(max(int64(latency/resolution), 1), maxValue)
 	// The value is within the range, so recording it cannot fail.
 	_ = histogram.RecordValue(value)
 }
@@ -62,10 +62,10 @@
 	for key, histogram := range l.histograms {
 		summaries[key.Customer+"/"+key.Class] = Summary{
 			Count: histogram.TotalCount(),
-			P50:   time.Duration(histogram.ValueAtQuantile(50)) * unit,
-			P95:   time.Duration(histogram.ValueAtQuantile(95)) * unit,
-			P99:   time.Duration(histogram.ValueAtQuantile(99)) * unit,
-			Max:   time.Duration(histogram.Max()) * unit,
+			P50:   time.Duration(histogram.ValueAtQuantile(50)) * resolution,
+			P95:   time.Duration(histogram.ValueAtQuantile(95)) * resolution,
+			P99:   time.Duration(histogram.ValueAtQuantile(99)) * resolution,
+			Max:   time.Duration(histogram.Max()) * resolution,
 		}
 	}
 	return summaries
--- a/pkg/revision/repository.go
+++ b/pkg/revision/repository.go
@@ -86,7 +86,7 @@
 func (r Repository) Head() (head Head, version string, err error) {
 	defer func() { err = trace.Wrap(err, "reading the head of settings") }()
 	row, err := r.Store.Get(HeadTable, HeadKey)
-	if absent(err) {
+	if isNotFound(err) {
 		return Head{}, "", nil
 	}
 	if err != nil {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if found := hashOf(snapshot); found != head.Hash {
+	if found := snapshotHash(snapshot); found != head.Hash {
 		return nil, trace.CompareFailed("the snapshot has hash %s, not %s", found, head.Hash)
 	}
 	return snapshot, nil
@@ -130,11 +130,11 @@
 	// Nonce is a value that no other proposal has.
 	Nonce string
 	// Until bounds the tries to learn the outcome when the store is failing.
-	Until time.Time
+	Deadline time.Time
 }
 
 // retryPause lies between two tries at a failing store.
-const retryPause = 200 * time.Millisecond
+const retryDelay = 200 * time.Millisecond
 
 // Accept makes a proposal the head. The error is a *ConflictError when another
 // acceptance came first, an *UnknownOutcomeError when the store did not say.
@@ -146,7 +146,7 @@
 	}
 	head = Head{
 		Revision: proposal.Expect + 1,
-		Hash:     hashOf(snapshot),
+		Hash:     snapshotHash(snapshot),
 		Author:   proposal.Author,
 		Message:  proposal.Message,
 		At:       time.Now().UTC(),
@@ -159,35 +159,35 @@
 	if current.Revision != proposal.Expect {
 		return Head{}, &ConflictError{Expected: proposal.Expect, Found: current}
 	}
-	if err := r.keep(head.Hash, snapshot, proposal.Until); err != nil {
+	if err := r.storeSnapshot(head.Hash, snapshot, proposal.Deadline); err != nil {
 		return Head{}, err
 	}
-	return head, r.move(head, version, proposal.Until)
+	return head, r.commitHead(head, version, proposal.Deadline)
 }
 
 // keep stores a snapshot. Its key is its hash, so writing it again is harmless,
 // and one whose answer was lost is found by reading.
-func (r Repository) keep(hash string, snapshot []byte, until time.Time) error {
+func (r Repository) storeSnapshot(hash string, snapshot []byte, deadline time.Time) error {
 	for {
 		err := r.Store.PutObject(objectKey(hash), snapshot)
 		if err == nil {
 			return nil
 		}
 		found, readErr := r.Store.GetObject(objectKey(hash))
-		if readErr == nil && hashOf(found) == hash {
+		if readErr == nil && snapshotHash(found) == hash {
 			return nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
 // move writes the head and its history entry in one transaction. The same
 // writes may be sent again when an answer is lost: the condition on the head's
 // version lets them take effect once.
-func (r Repository) move(head Head, version string, until time.Time) error {
+func (r Repository) commitHead(head Head, version string, deadline time.Time) error {
 	value, err := json.Marshal(head)
 	if err != nil {
 		return err
@@ -201,19 +201,19 @@
 		if err == nil {
 			return nil
 		}
-		settled, settleErr := r.settle(head)
-		if settled {
-			return settleErr
+		known, outcome := r.resolveOutcome(head)
+		if known {
+			return outcome
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return &UnknownOutcomeError{Revision: head.Revision, Err: err}
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
 // settle learns by reading which acceptance has the revision.
-func (r Repository) settle(head Head) (settled bool, err error) {
+func (r Repository) resolveOutcome(head Head) (known bool, err error) {
 	entry, err := r.Entry(head.Revision)
 	if err != nil {
 		return false, nil
@@ -224,12 +224,12 @@
 	return true, &ConflictError{Expected: head.Revision - 1, Found: entry}
 }
 
-func absent(err error) bool {
+func isNotFound(err error) bool {
 	var notFound *platform.NotFoundError
 	return errors.As(err, &notFound)
 }
 
-func hashOf(snapshot []byte) string {
+func snapshotHash(snapshot []byte) string {
 	sum := sha256.Sum256(snapshot)
 	return hex.EncodeToString(sum[:])
 }
--- a/pkg/router/follow.go
+++ b/pkg/router/background.go
@@ -20,7 +20,7 @@
 )
 
 // followHead looks for accepted settings in the store.
-func (r *Router) followHead(ctx context.Context) error {
+func (r *Router) pollHead(ctx context.Context) error {
 	if r.Box.Platform.Address == "" {
 		return nil
 	}
@@ -48,14 +48,14 @@
 
 // revision is that of the settings in force; 0 when there are none accepted.
 func (r *Router) revision() uint64 {
-	if now := r.current.Load(); now != nil {
-		return now.revision
+	if current := r.current.Load(); current != nil {
+		return current.revision
 	}
 	return 0
 }
 
 // followBoxList looks at the platform's list of boxes.
-func (r *Router) followBoxList(ctx context.Context) error {
+func (r *Router) pollBoxList(ctx context.Context) error {
 	if r.Box.Platform.Address == "" {
 		return nil
 	}
@@ -85,22 +85,22 @@
 		}
 	}
 	// What this box's own settings say of a peer goes before the list.
-	for name, known := range r.Box.Peers {
-		peers[name] = known
+	for name, configured := range r.Box.Peers {
+		peers[name] = configured
 	}
 	r.exchange.SetContacts(peer.ContactsOf(peers))
 	r.mu.Lock()
-	r.listed = leaving
+	r.leavingAddresses = leaving
 	r.mu.Unlock()
-	for _, p := range r.poolsNow() {
-		p.Do(func(s *pool.Schedule, now time.Time) { s.ListLeaving(leaving) })
+	for _, p := range r.allPools() {
+		p.Do(func(s *pool.Schedule, now time.Time) { s.SetLeaving(leaving) })
 	}
 }
 
 // followPeers tells each pool how many routers live and what they demand.
-func (r *Router) followPeers(ctx context.Context) error {
+func (r *Router) updatePeerDemand(ctx context.Context) error {
 	interval.Every(ctx, r.Box.Exchange.Interval.Duration, func() {
-		for name, p := range r.poolsNow() {
+		for name, p := range r.allPools() {
 			liveRouters, demand := r.members.Demand(name)
 			p.Do(func(s *pool.Schedule, now time.Time) { s.SetPeers(liveRouters, demand) })
 		}
@@ -115,8 +115,8 @@
 		Leaving:  r.stopping.Load(),
 		Pools:    map[string]peer.PoolState{},
 	}
-	for name, p := range r.poolsNow() {
-		p.Look(func(s *pool.Schedule, now time.Time) {
+	for name, p := range r.allPools() {
+		p.View(func(s *pool.Schedule, now time.Time) {
 			state.Pools[name] = s.State(now)
 		})
 	}
@@ -125,25 +125,25 @@
 
 // Snapshot gives peers the settings in force.
 func (r *Router) Snapshot() (revision uint64, content []byte) {
-	now := r.current.Load()
-	if now == nil {
+	current := r.current.Load()
+	if current == nil {
 		return 0, nil
 	}
-	return now.revision, now.snapshot
+	return current.revision, current.snapshot
 }
 
 // Heard applies a peer's account.
-func (r *Router) HandleUpdate(from peer.Sender, news peer.State, first bool) {
-	r.members.Heard(from, news, first, time.Now())
-	for name, state := range news.Pools {
+func (r *Router) HandleUpdate(from peer.Sender, update peer.State, first bool) {
+	r.members.HandleUpdate(from, update, first, time.Now())
+	for name, state := range update.Pools {
 		p := r.pool(name)
 		if p == nil {
 			continue
 		}
-		p.Do(func(s *pool.Schedule, now time.Time) { s.Hear(from.Incarnation, state, first) })
+		p.Do(func(s *pool.Schedule, now time.Time) { s.HandleUpdate(from.Incarnation, state, first) })
 	}
-	if news.Revision > r.revision() {
-		r.fetchSettings(from.Box, news.Revision)
+	if update.Revision > r.revision() {
+		r.fetchSettings(from.Box, update.Revision)
 	}
 }
 
@@ -162,34 +162,34 @@
 
 // Silent drops what a peer said is waiting or charged there.
 func (r *Router) HandlePeerLost(from peer.Sender) {
-	r.members.Silent(from)
-	for _, p := range r.poolsNow() {
+	r.members.HandlePeerLost(from)
+	for _, p := range r.allPools() {
 		p.Do(func(s *pool.Schedule, now time.Time) { s.Ledger.RemovePeer(from.Incarnation) })
 	}
 }
 
 // followReports asks endpoints for their load.
-func (r *Router) followReports(ctx context.Context) error {
-	ticks := map[string]time.Time{}
-	interval.Every(ctx, reportTick, func() {
-		for name, p := range r.poolsNow() {
+func (r *Router) pollReports(ctx context.Context) error {
+	lastPolls := map[string]time.Time{}
+	interval.Every(ctx, reportCheckInterval, func() {
+		for name, p := range r.allPools() {
 			rules, addresses := endpointsOf(p)
-			due := time.Since(ticks[name]) >= rules.ReportInterval.Duration
+			due := time.Since(lastPolls[name]) >= rules.ReportInterval.Duration
 			if rules.ReportPath == "" || !due {
 				continue
 			}
-			ticks[name] = time.Now()
-			r.askReports(p, &rules, addresses)
+			lastPolls[name] = time.Now()
+			r.fetchReports(p, &rules, addresses)
 		}
 	})
 	return nil
 }
 
 // reportTick is the finest grain of report intervals.
-const reportTick = 50 * time.Millisecond
+const reportCheckInterval = 50 * time.Millisecond
 
 func endpointsOf(p *pool.Pool) (rules settings.Pool, addresses map[string]string) {
-	p.Look(func(s *pool.Schedule, now time.Time) {
+	p.View(func(s *pool.Schedule, now time.Time) {
 		rules = s.Rules()
 		addresses = s.Addresses()
 	})
@@ -197,11 +197,11 @@
 }
 
 // askReports asks all endpoints of a pool at once, each within the interval.
-func (r *Router) askReports(p *pool.Pool, rules *settings.Pool, addresses map[string]string) {
+func (r *Router) fetchReports(p *pool.Pool, rules *settings.Pool, addresses map[string]string) {
 	group := errgroup.Group{}
 	for name, address := range addresses {
 		group.Go(func() error {
-			report, err := r.askReport(address, rules)
+			report, err := r.fetchReport(address, rules)
 			p.Do(func(s *pool.Schedule, now time.Time) {
 				if err != nil {
 					s.ReportFailed(name, now)
@@ -217,20 +217,20 @@
 }
 
 // askReport reads one endpoint's load.
-func (r *Router) askReport(address string, rules *settings.Pool) (report pool.Report, err error) {
+func (r *Router) fetchReport(address string, rules *settings.Pool) (report pool.Report, err error) {
 	defer func() { err = trace.Wrap(err, "asking endpoint %s for its load", address) }()
 	call := &fasthttp.Request{}
 	call.SetRequestURI("http://" + address + rules.ReportPath)
-	patience := max(rules.ReportInterval.Duration, rules.ConnectTimeout.Duration)
-	deadline := time.Now().Add(patience)
+	timeout := max(rules.ReportInterval.Duration, rules.ConnectTimeout.Duration)
+	deadline := time.Now().Add(timeout)
 	check := func() error {
 		if time.Now().After(deadline) {
-			return trace.LimitExceeded("no report within %s", patience)
+			return trace.LimitExceeded("no report within %s", timeout)
 		}
 		return nil
 	}
-	step := func() error { return nil }
-	answer, err := r.client(address, rules).Send(call, false, check, step, step)
+	noop := func() error { return nil }
+	answer, err := r.client(address, rules).Send(call, false, check, noop, noop)
 	if err != nil {
 		return report, err
 	}
--- a/pkg/router/caller.go
+++ b/pkg/router/caller.go
@@ -73,7 +73,7 @@
 		return refusal
 	}
 	j.customer = customer
-	if refusal := j.readDeadline(); refusal != nil {
+	if refusal := j.parseDeadline(); refusal != nil {
 		return refusal
 	}
 	switch path := string(j.ctx.Path()); path {
@@ -87,21 +87,21 @@
 }
 
 // readDeadline sets the one deadline that is carried through the request.
-func (j *job) readDeadline() *request.Refusal {
-	longest := j.router.Box.Limits.RequestTimeout.Duration
+func (j *job) parseDeadline() *request.Refusal {
+	timeout := j.router.Box.Limits.RequestTimeout.Duration
 	given := j.ctx.Request.Header.Peek(TimeoutHeader)
 	if len(given) > 0 {
 		parsed, err := time.ParseDuration(string(given))
 		if err != nil || parsed <= 0 {
-			return invalid("the header " + TimeoutHeader + " is no duration such as 10s")
+			return invalidRequest("the header " + TimeoutHeader + " is no duration such as 10s")
 		}
-		longest = min(longest, parsed)
+		timeout = min(timeout, parsed)
 	}
-	j.deadline = j.arrived.Add(longest)
+	j.deadline = j.arrived.Add(timeout)
 	return nil
 }
 
-func invalid(message string) *request.Refusal {
+func invalidRequest(message string) *request.Refusal {
 	return &request.Refusal{Code: request.InvalidRequest, Message: message, Run: request.NotRun}
 }
 
@@ -120,13 +120,13 @@
 func (j *job) listModels() *request.Refusal {
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for model, pool := range j.view.models {
-		if j.view.allowed(j.customer, pool) {
+		if j.view.canUsePool(j.customer, pool) {
 			list.Data = append(list.Data, modelEntry{ID: model, Object: "model", OwnedBy: pool})
 		}
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
-		return invalid(err.Error())
+		return invalidRequest(err.Error())
 	}
 	j.ctx.Response.Header.SetContentType("application/json")
 	j.ctx.Response.Header.Set(request.IDHeader, j.id)
@@ -152,17 +152,17 @@
 // refuseMalformed answers what is no HTTP request within the limits.
 func (r *Router) refuseMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r.logs.For(logflags.Caller).Debug("malformed request", zap.Error(err))
-	refusal := invalid("the request is malformed, too large or too slow")
+	refusal := invalidRequest("the request is malformed, too large or too slow")
 	refusal.Write(&ctx.Response, newID())
 	ctx.SetConnectionClose()
 }
 
 // gone tells whether the caller's connection is closed.
-func (j *job) gone() bool {
+func (j *job) callerGone() bool {
 	return !endpoint.IsOpen(j.ctx.Conn())
 }
 
-func (j *job) count(latencies *record.Latencies) {
+func (j *job) recordLatency(latencies *record.Latencies) {
 	key := record.Key{Customer: j.customer, Class: j.class}
 	latencies.Add(key, time.Since(j.arrived))
 }
--- a/pkg/router/job.go
+++ b/pkg/router/job.go
@@ -23,38 +23,38 @@
 	arrived  time.Time
 	deadline time.Time
 
-	poolName string
-	pool     *pool.Pool
-	rules    settings.Pool
-	ticket   *pool.Ticket
-	life     request.Life
+	poolName  string
+	pool      *pool.Pool
+	rules     settings.Pool
+	ticket    *pool.Ticket
+	lifecycle request.Life
 	// repeatable tells that the request may be sent more than once.
 	repeatable bool
 	// compose writes the request for the endpoint that was chosen.
-	compose func() (*fasthttp.Request, error)
+	buildRequest func() (*fasthttp.Request, error)
 	// tries counts the endpoints that were granted, whether reached or not.
-	tries int
+	grants int
 	// streaming is set once the answer's stream has the job; it then ends it.
 	streaming bool
 }
 
 // callerCheck is the time between two looks whether a waiting caller is gone.
-const callerCheck = 500 * time.Millisecond
+const callerCheckInterval = 500 * time.Millisecond
 
 // retryHint is the advice to come back after a failure that passes soon.
-const retryHint = time.Second
+const defaultRetryAfter = time.Second
 
 // goneError ends waiting for an endpoint whose caller went away.
-type goneError struct{}
+type callerGoneError struct{}
 
 // Error says why the wait ended.
-func (goneError) Error() string { return "the caller went away" }
+func (callerGoneError) Error() string { return "the caller went away" }
 
 // lateError ends waiting for an endpoint when the deadline passed.
-type lateError struct{}
+type deadlineError struct{}
 
 // Error says why the wait ended.
-func (lateError) Error() string { return "the deadline passed" }
+func (deadlineError) Error() string { return "the deadline passed" }
 
 // strandedError ends waiting in the queue of an endpoint while another is free.
 type strandedError struct{}
@@ -63,27 +63,27 @@
 func (strandedError) Error() string { return "another endpoint has a free slot" }
 
 // checkAnswer is asked while an endpoint's answer is awaited.
-func (j *job) checkAnswer() error {
-	if j.repeatable && j.life.Attempts() < maxAttempts && j.pool.Stranded(j.ticket) {
+func (j *job) checkWhileWaiting() error {
+	if j.repeatable && j.lifecycle.Attempts() < maxAttempts && j.pool.IsStranded(j.ticket) {
 		return strandedError{}
 	}
-	return j.check()
+	return j.checkActive()
 }
 
 // check tells whether the request is still wanted.
-func (j *job) check() error {
+func (j *job) checkActive() error {
 	if time.Now().After(j.deadline) {
-		return lateError{}
+		return deadlineError{}
 	}
-	if j.gone() {
-		return goneError{}
+	if j.callerGone() {
+		return callerGoneError{}
 	}
 	return nil
 }
 
 // enter sets the job's pool and makes its ticket.
-func (j *job) enter(poolName string) *request.Refusal {
-	if !j.view.allowed(j.customer, poolName) {
+func (j *job) assignPool(poolName string) *request.Refusal {
+	if !j.view.canUsePool(j.customer, poolName) {
 		return &request.Refusal{
 			Code:    request.NotAllowed,
 			Message: "the customer may not use pool " + poolName,
@@ -105,7 +105,7 @@
 // obtain gets the head of an endpoint's answer for a ticket in line, trying
 // other endpoints as far as that is safe and within the retry budget. The
 // ticket is running then.
-func (j *job) obtain() (*endpoint.Answer, *request.Refusal) {
+func (j *job) obtainAnswer() (*endpoint.Answer, *request.Refusal) {
 	for {
 		if refusal := j.awaitGrant(); refusal != nil {
 			return nil, refusal
@@ -114,7 +114,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		if refusal := j.afterFailure(err); refusal != nil {
+		if refusal := j.handleFailure(err); refusal != nil {
 			return nil, refusal
 		}
 	}
@@ -122,11 +122,11 @@
 
 // awaitGrant waits in line for an endpoint with room.
 func (j *job) awaitGrant() *request.Refusal {
-	if j.life.State() < request.Queued {
+	if j.lifecycle.State() < request.Queued {
 		// A received request can always be queued.
-		_ = j.life.Advance(request.Queued)
+		_ = j.lifecycle.Advance(request.Queued)
 	}
-	timer := time.NewTimer(callerCheck)
+	timer := time.NewTimer(callerCheckInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -134,24 +134,24 @@
 			return nil
 		case <-timer.C:
 		}
-		if err := j.check(); err != nil {
+		if err := j.checkActive(); err != nil {
 			if j.pool.Withdraw(j.ticket) {
-				return j.givenUp(err)
+				return j.abandonedRefusal(err)
 			}
 			<-j.ticket.Granted
 			j.pool.Finish(j.ticket, pool.Abandoned{})
-			return j.givenUp(err)
+			return j.abandonedRefusal(err)
 		}
-		if refusal := j.hopeless(); refusal != nil {
+		if refusal := j.refuseIfUnavailable(); refusal != nil {
 			return refusal
 		}
-		timer.Reset(min(callerCheck, max(time.Until(j.deadline), time.Millisecond)))
+		timer.Reset(min(callerCheckInterval, max(time.Until(j.deadline), time.Millisecond)))
 	}
 }
 
 // hopeless gives up at once when no endpoint of the pool can be used: waiting
 // on would only hold the answer back.
-func (j *job) hopeless() *request.Refusal {
+func (j *job) refuseIfUnavailable() *request.Refusal {
 	wait, none := j.pool.NoneAvailable()
 	if !none || !j.pool.Withdraw(j.ticket) {
 		return nil
@@ -159,25 +159,25 @@
 	return &request.Refusal{
 		Code:       request.NoEndpoint,
 		Message:    "no endpoint of the pool can be used now",
-		Run:        j.life.Run(),
-		RetryAfter: max(wait, retryHint),
+		Run:        j.lifecycle.Run(),
+		RetryAfter: max(wait, defaultRetryAfter),
 	}
 }
 
 // givenUp is the final answer when the caller or the deadline ended a request.
-func (j *job) givenUp(err error) *request.Refusal {
-	if errors.Is(err, goneError{}) {
+func (j *job) abandonedRefusal(err error) *request.Refusal {
+	if errors.Is(err, callerGoneError{}) {
 		return &request.Refusal{
 			Code:    request.CallerGone,
 			Message: "the caller went away",
-			Run:     j.life.Run(),
+			Run:     j.lifecycle.Run(),
 		}
 	}
 	return &request.Refusal{
 		Code:       request.DeadlinePassed,
 		Message:    "the request's deadline passed",
-		Run:        j.life.Run(),
-		RetryAfter: retryHint,
+		Run:        j.lifecycle.Run(),
+		RetryAfter: defaultRetryAfter,
 	}
 }
 
@@ -190,37 +190,37 @@
 func (e *declinedError) Error() string { return "the endpoint took no new work" }
 
 // crossedError reports an answer that belongs to another request.
-type crossedError struct {
-	got string
+type mismatchedAnswerError struct {
+	answered string
 }
 
 // Error names the other request.
-func (e *crossedError) Error() string { return "the endpoint answered request " + e.got }
+func (e *mismatchedAnswerError) Error() string { return "the endpoint answered request " + e.answered }
 
 // statusError reports an answer that another endpoint may do better.
-type statusError struct {
+type retryableStatusError struct {
 	status int
 }
 
 // Error names the status.
-func (e *statusError) Error() string {
+func (e *retryableStatusError) Error() string {
 	return "the endpoint answered " + fasthttp.StatusMessage(e.status)
 }
 
 // attempt sends the request to the granted endpoint.
 func (j *job) attempt() (*endpoint.Answer, error) {
-	j.tries++
-	call, err := j.compose()
+	j.grants++
+	call, err := j.buildRequest()
 	if err != nil {
 		return nil, err
 	}
-	if err := j.check(); err != nil {
+	if err := j.checkActive(); err != nil {
 		return nil, err
 	}
 	client := j.router.client(j.ticket.Endpoint.Address, &j.rules)
-	sending := func() error { return j.life.Advance(request.Sending) }
-	sent := func() error { return j.life.Advance(request.Sent) }
-	answer, err := client.Send(call, !j.repeatable, j.checkAnswer, sending, sent)
+	onSending := func() error { return j.lifecycle.Advance(request.Sending) }
+	onSent := func() error { return j.lifecycle.Advance(request.Sent) }
+	answer, err := client.Send(call, !j.repeatable, j.checkWhileWaiting, onSending, onSent)
 	if err != nil {
 		return nil, err
 	}
@@ -228,7 +228,7 @@
 		answer.Close()
 		return nil, err
 	}
-	return answer, j.life.Advance(request.Answering)
+	return answer, j.lifecycle.Advance(request.Answering)
 }
 
 // inspect judges the head of an answer.
@@ -236,15 +236,15 @@
 	header := &answer.Response.Header
 	echoed := header.Peek(request.IDHeader)
 	if len(echoed) > 0 && string(echoed) != j.id {
-		return &crossedError{got: string(echoed)}
+		return &mismatchedAnswerError{answered: string(echoed)}
 	}
 	if j.rules.NotRunHeader != "" && len(header.Peek(j.rules.NotRunHeader)) > 0 {
 		leaving := j.rules.LeavingHeader != "" && len(header.Peek(j.rules.LeavingHeader)) > 0
 		return &declinedError{leaving: leaving}
 	}
 	status := answer.Response.StatusCode()
-	if j.repeatable && retryableStatus(status) && j.life.Attempts() < maxAttempts {
-		return &statusError{status: status}
+	if j.repeatable && retryableStatus(status) && j.lifecycle.Attempts() < maxAttempts {
+		return &retryableStatusError{status: status}
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 const maxAttempts = 3
 
 // maxTries bounds the endpoints that one request is granted, reached or not.
-const maxTries = 8
+const maxGrants = 8
 
 func retryableStatus(status int) bool {
 	switch status {
@@ -265,47 +265,47 @@
 
 // afterFailure settles a failed attempt and puts the request back in line if
 // that is safe. Otherwise it returns the final answer.
-func (j *job) afterFailure(err error) *request.Refusal {
+func (j *job) handleFailure(err error) *request.Refusal {
 	var declined *declinedError
 	var dial *endpoint.DialError
 	stranded := errors.Is(err, strandedError{})
-	ended := errors.Is(err, goneError{}) || errors.Is(err, lateError{})
+	abandoned := errors.Is(err, callerGoneError{}) || errors.Is(err, deadlineError{})
 	switch {
 	case errors.As(err, &declined):
-		j.life.Prove()
+		j.lifecycle.Prove()
 		j.pool.Finish(j.ticket, pool.Declined{Leaving: declined.leaving})
-	case ended:
+	case abandoned:
 		j.pool.Finish(j.ticket, pool.Abandoned{})
-		return j.givenUp(err)
+		return j.abandonedRefusal(err)
 	case stranded:
 		j.pool.Finish(j.ticket, pool.Moved{})
 	default:
 		j.pool.Finish(j.ticket, pool.Failed{})
 	}
-	free := declined != nil || stranded || errors.As(err, &dial)
-	if j.backInLine(free) {
+	budgetExempt := declined != nil || stranded || errors.As(err, &dial)
+	if j.requeue(budgetExempt) {
 		return nil
 	}
 	return &request.Refusal{
 		Code:       request.EndpointFailed,
 		Message:    "the endpoint did not give a whole answer",
-		Run:        j.life.Run(),
-		RetryAfter: retryHint,
+		Run:        j.lifecycle.Run(),
+		RetryAfter: defaultRetryAfter,
 	}
 }
 
 // backInLine queues the request for another attempt. It is free of the budget if
 // the endpoint ran nothing or was left while the request waited there; any
 // other failure costs.
-func (j *job) backInLine(free bool) bool {
-	if j.life.Attempts() >= maxAttempts || j.tries >= maxTries {
+func (j *job) requeue(budgetExempt bool) bool {
+	if j.lifecycle.Attempts() >= maxAttempts || j.grants >= maxGrants {
 		return false
 	}
-	if j.life.State() >= request.Sending && j.life.Return(j.repeatable) != nil {
+	if j.lifecycle.State() >= request.Sending && j.lifecycle.Return(j.repeatable) != nil {
 		return false
 	}
 	j.router.Metrics.Retries.Add(j.poolName, 1)
-	if free {
+	if budgetExempt {
 		return j.pool.Requeue(j.ticket)
 	}
 	return j.pool.Retry(j.ticket)
--- a/pkg/router/model.go
+++ b/pkg/router/model.go
@@ -17,11 +17,11 @@
 // serveModel serves a call to a model pool.
 func (j *job) serveModel() *request.Refusal {
 	if !j.ctx.IsPost() {
-		return invalid("model requests are made by POST")
+		return invalidRequest("model requests are made by POST")
 	}
 	call, err := endpoint.ParseModelCall(j.ctx.PostBody())
 	if err != nil {
-		return invalid("the body is no model request: " + err.Error())
+		return invalidRequest("the body is no model request: " + err.Error())
 	}
 	poolName, ok := j.view.models[call.Model]
 	if !ok {
@@ -31,23 +31,23 @@
 			Run:     request.NotRun,
 		}
 	}
-	if refusal := j.enter(poolName); refusal != nil {
+	if refusal := j.assignPool(poolName); refusal != nil {
 		return refusal
 	}
-	named := string(j.ctx.Request.Header.Peek(ClassHeader))
-	j.class, j.ticket.Quick = j.view.classify(named, call.MaxTokens)
+	className := string(j.ctx.Request.Header.Peek(ClassHeader))
+	j.class, j.ticket.Quick = j.view.classify(className, call.MaxTokens)
 	j.ticket.Class = j.class
 	j.ticket.InputTokens = float64(call.PromptBytes) / endpoint.BytesPerToken
 	j.ticket.MaxOutputTokens = float64(call.MaxTokens)
 	j.ticket.Affinity = call.Affinity
 	j.ticket.Streamed = call.Stream
 	j.repeatable = true
-	j.compose = func() (*fasthttp.Request, error) {
+	j.buildRequest = func() (*fasthttp.Request, error) {
 		body, err := call.Body(j.rules.PriorityField, j.ticket.Priority)
 		if err != nil {
 			return nil, err
 		}
-		request := j.forward()
+		request := j.newForwardRequest()
 		request.SetBodyRaw(body)
 		return request, nil
 	}
@@ -61,31 +61,31 @@
 		return refusal
 	}
 	for {
-		answer, refusal := j.obtain()
+		answer, refusal := j.obtainAnswer()
 		if refusal != nil {
 			return refusal
 		}
 		var err error
 		switch {
 		case answer.Response.StatusCode() != fasthttp.StatusOK:
-			return j.passOn(answer)
+			return j.relay(answer)
 		case bytes.HasPrefix(answer.Response.Header.ContentType(), eventStreamType):
-			err = j.answerStream(answer, call.WantsUsage)
+			err = j.relayStream(answer, call.WantsUsage)
 		default:
-			err = j.answerWhole(answer)
+			err = j.relayWhole(answer)
 		}
 		if err == nil {
 			return nil
 		}
 		answer.Close()
-		if refusal := j.afterFailure(err); refusal != nil {
+		if refusal := j.handleFailure(err); refusal != nil {
 			return refusal
 		}
 	}
 }
 
 // answerWhole passes on an answer that came in one piece.
-func (j *job) answerWhole(answer *endpoint.Answer) error {
+func (j *job) relayWhole(answer *endpoint.Answer) error {
 	body, err := answer.Whole(j.router.Box.Limits.AnswerBytes)
 	if err != nil {
 		return err
@@ -96,24 +96,24 @@
 	j.finish(pool.Answered{
 		InputTokens:  float64(usage.PromptTokens),
 		OutputTokens: float64(usage.CompletionTokens),
-		Known:        known,
+		UsageKnown:   known,
 	})
-	j.count(&j.router.Metrics.FirstToken)
-	j.copyHead(answer)
+	j.recordLatency(&j.router.Metrics.FirstToken)
+	j.copyHeader(answer)
 	j.ctx.Response.SetBody(body)
 	return nil
 }
 
 // answerStream hands the stream to the server, which reads it event by event.
-func (j *job) answerStream(answer *endpoint.Answer, keepUsage bool) error {
+func (j *job) relayStream(answer *endpoint.Answer, keepUsage bool) error {
 	events := &endpoint.EventStream{Source: answer, KeepUsage: keepUsage}
 	events.Count = func(tokens int) { j.pool.Stream(j.ticket, float64(tokens)) }
 	if err := events.Prime(); err != nil {
 		return err
 	}
 	j.pool.Begin(j.ticket)
-	j.count(&j.router.Metrics.FirstToken)
-	j.copyHead(answer)
+	j.recordLatency(&j.router.Metrics.FirstToken)
+	j.copyHeader(answer)
 	j.streaming = true
 	j.ctx.Response.ImmediateHeaderFlush = true
 	j.ctx.Response.SetBodyStream(&eventBody{body: body{job: j, answer: answer}, events: events}, -1)
@@ -121,12 +121,12 @@
 }
 
 // finish settles the request as answered.
-func (j *job) finish(how pool.Answered) {
-	j.pool.Finish(j.ticket, how)
+func (j *job) finish(outcome pool.Answered) {
+	j.pool.Finish(j.ticket, outcome)
 	// An answering request can always be settled.
-	_ = j.life.Advance(request.Settled)
+	_ = j.lifecycle.Advance(request.Settled)
 	j.router.Metrics.Answers.Add(j.poolName, 1)
-	j.count(&j.router.Metrics.Total)
+	j.recordLatency(&j.router.Metrics.Total)
 }
 
 // body is an answer on its way to the caller. Its Close settles the request.
@@ -134,18 +134,18 @@
 	job    *job
 	answer *endpoint.Answer
 	// whole is set once the end was passed on.
-	whole  bool
-	closed bool
+	complete bool
+	closed   bool
 }
 
 // allowWrite gives a slow caller its time for the next piece.
-func (b *body) allowWrite() error {
+func (b *body) extendWriteDeadline() error {
 	timeout := b.job.router.Box.Limits.WriteTimeout.Duration
 	return b.job.ctx.Conn().SetWriteDeadline(time.Now().Add(timeout))
 }
 
 // close ends the exchange with the endpoint, whole or cut.
-func (b *body) close(how pool.Answered) error {
+func (b *body) close(outcome pool.Answered) error {
 	if b.closed {
 		return nil
 	}
@@ -153,12 +153,12 @@
 	j := b.job
 	defer j.router.inFlight.Add(-1)
 	err := b.answer.Close()
-	if b.whole {
-		j.finish(how)
+	if b.complete {
+		j.finish(outcome)
 		return err
 	}
 	j.router.Metrics.Cut.Add(j.poolName, 1)
-	if j.gone() {
+	if j.callerGone() {
 		j.pool.Finish(j.ticket, pool.Abandoned{})
 		return err
 	}
@@ -176,11 +176,11 @@
 // close the connection without a clean end, so that the caller sees the cut.
 func (b *eventBody) Read(p []byte) (n int, err error) {
 	n, err = b.events.Read(p)
-	b.whole = isEnd(err)
+	b.complete = isEOF(err)
 	if err != nil {
 		return n, err
 	}
-	return n, b.allowWrite()
+	return n, b.extendWriteDeadline()
 }
 
 // Close settles the request at its true cost.
@@ -188,6 +188,6 @@
 	return b.close(pool.Answered{
 		InputTokens:  float64(b.events.Usage.PromptTokens),
 		OutputTokens: float64(b.events.Usage.CompletionTokens),
-		Known:        b.events.Known,
+		UsageKnown:   b.events.Known,
 	})
 }
--- a/pkg/router/operator.go
+++ b/pkg/router/operator.go
@@ -51,7 +51,7 @@
 	case "/status":
 		r.serveStatus(ctx)
 	case "/look":
-		r.serveLook(ctx)
+		r.serveCheckHead(ctx)
 	case "/drain":
 		r.serveDrain(ctx)
 	case "/debug/vars":
@@ -77,7 +77,7 @@
 
 // serveLook looks at the accepted settings at once, as an operator who has just
 // had some accepted asks for.
-func (r *Router) serveLook(ctx *fasthttp.RequestCtx) {
+func (r *Router) serveCheckHead(ctx *fasthttp.RequestCtx) {
 	if err := r.checkHead(); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 	}
@@ -89,13 +89,13 @@
 		ctx.Error("a planned stop is asked for by POST", fasthttp.StatusMethodNotAllowed)
 		return
 	}
-	r.stopOnce.Do(func() { close(r.stopAsked) })
+	r.stopOnce.Do(func() { close(r.stopRequested) })
 }
 
 // inForceSince is when the settings came into force; zero when there are none.
 func (r *Router) inForceSince() time.Time {
-	if now := r.current.Load(); now != nil {
-		return now.since
+	if current := r.current.Load(); current != nil {
+		return current.since
 	}
 	return time.Time{}
 }
--- a/pkg/router/plain.go
+++ b/pkg/router/plain.go
@@ -17,7 +17,7 @@
 
 // servePlain serves a call to a plain service.
 func (j *job) servePlain(path string) *request.Refusal {
-	poolName, ok := j.view.poolOfPath(path)
+	poolName, ok := j.view.poolForPath(path)
 	if !ok {
 		return &request.Refusal{
 			Code:    request.NoSuchPath,
@@ -25,16 +25,16 @@
 			Run:     request.NotRun,
 		}
 	}
-	if refusal := j.enter(poolName); refusal != nil {
+	if refusal := j.assignPool(poolName); refusal != nil {
 		return refusal
 	}
-	named := string(j.ctx.Request.Header.Peek(ClassHeader))
-	j.class, j.ticket.Quick = j.view.classify(named, 0)
+	className := string(j.ctx.Request.Header.Peek(ClassHeader))
+	j.class, j.ticket.Quick = j.view.classify(className, 0)
 	j.ticket.Class = j.class
 	method := string(j.ctx.Method())
-	j.repeatable = mayRepeat(&j.rules, method, path)
-	j.compose = func() (*fasthttp.Request, error) {
-		call := j.forward()
+	j.repeatable = isRepeatable(&j.rules, method, path)
+	j.buildRequest = func() (*fasthttp.Request, error) {
+		call := j.newForwardRequest()
 		call.SetBodyRaw(j.ctx.PostBody())
 		return call, nil
 	}
@@ -50,17 +50,17 @@
 	if refusal := j.pool.Submit(j.ticket); refusal != nil {
 		return refusal
 	}
-	answer, refusal := j.obtain()
+	answer, refusal := j.obtainAnswer()
 	if refusal != nil {
 		return refusal
 	}
-	return j.passOn(answer)
+	return j.relay(answer)
 }
 
 // passOn hands an answer to the server, which reads it piece by piece.
-func (j *job) passOn(answer *endpoint.Answer) *request.Refusal {
+func (j *job) relay(answer *endpoint.Answer) *request.Refusal {
 	j.pool.Begin(j.ticket)
-	j.copyHead(answer)
+	j.copyHeader(answer)
 	if answer.Empty() {
 		j.ctx.Response.SkipBody = j.ctx.IsHead()
 		answer.Close()
@@ -82,11 +82,11 @@
 // close the connection without a clean end, so that the caller sees the cut.
 func (b *plainBody) Read(p []byte) (n int, err error) {
 	n, err = b.answer.Read(p)
-	b.whole = isEnd(err)
+	b.complete = isEOF(err)
 	if err != nil {
 		return n, err
 	}
-	return n, b.allowWrite()
+	return n, b.extendWriteDeadline()
 }
 
 // Close settles the request.
@@ -94,7 +94,7 @@
 	return b.close(pool.Answered{})
 }
 
-func isEnd(err error) bool {
+func isEOF(err error) bool {
 	return err == io.EOF
 }
 
@@ -103,20 +103,20 @@
 func (j *job) answerClaimed(key string) *request.Refusal {
 	ctx, cancel := context.WithDeadline(context.Background(), j.deadline)
 	defer cancel()
-	named := claim.Key{Customer: j.customer, Pool: j.poolName, Value: key}
-	result, err := j.router.claims.Take(ctx, named, j.digest())
+	claimKey := claim.Key{Customer: j.customer, Pool: j.poolName, Value: key}
+	result, err := j.router.claims.Take(ctx, claimKey, j.digest())
 	if err != nil {
 		return &request.Refusal{
 			Code:       request.StoreUnavailable,
 			Message:    "the claim of the idempotency key could not be confirmed",
 			Run:        request.NotRun,
-			RetryAfter: retryHint,
+			RetryAfter: defaultRetryAfter,
 		}
 	}
 	switch result := result.(type) {
 	case claim.Taken:
 		// A received request can always be claimed.
-		_ = j.life.Advance(request.Claimed)
+		_ = j.lifecycle.Advance(request.Claimed)
 		return j.sendClaimed(result.Claim)
 	case claim.Stored:
 		j.answerStored(result.Outcome)
@@ -132,7 +132,7 @@
 			Code:       request.OutcomeUnknown,
 			Message:    "the call with this idempotency key was begun and its outcome is not known",
 			Run:        request.Unknown,
-			RetryAfter: retryHint,
+			RetryAfter: defaultRetryAfter,
 		}
 	}
 }
@@ -152,10 +152,10 @@
 	refusal := j.pool.Submit(j.ticket)
 	var answer *endpoint.Answer
 	if refusal == nil {
-		answer, refusal = j.obtain()
+		answer, refusal = j.obtainAnswer()
 	}
 	if refusal != nil {
-		if j.life.Run() == request.NotRun {
+		if j.lifecycle.Run() == request.NotRun {
 			j.router.claims.Release(held)
 		}
 		return refusal
@@ -167,7 +167,7 @@
 		return &request.Refusal{
 			Code:    request.OutcomeUnknown,
 			Message: "the call ran, but its answer did not come whole",
-			Run:     j.life.Run(),
+			Run:     j.lifecycle.Run(),
 		}
 	}
 	j.finish(pool.Answered{})
@@ -176,7 +176,7 @@
 		ContentType: string(answer.Response.Header.ContentType()),
 		Body:        content,
 	})
-	j.copyHead(answer)
+	j.copyHeader(answer)
 	j.ctx.Response.SetBody(content)
 	return nil
 }
@@ -196,10 +196,10 @@
 
 // forward copies a caller's request for an endpoint. The customer's key stays
 // here, and so do the headers that concern one connection only.
-func (j *job) forward() *fasthttp.Request {
+func (j *job) newForwardRequest() *fasthttp.Request {
 	call := &fasthttp.Request{}
 	j.ctx.Request.Header.CopyTo(&call.Header)
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		call.Header.Del(name)
 	}
 	call.Header.Del(fasthttp.HeaderAuthorization)
@@ -215,11 +215,11 @@
 }
 
 // copyHead starts the caller's answer with the endpoint's status and headers.
-func (j *job) copyHead(answer *endpoint.Answer) {
+func (j *job) copyHeader(answer *endpoint.Answer) {
 	response := &j.ctx.Response
 	closing := response.ConnectionClose()
 	answer.Response.Header.CopyTo(&response.Header)
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		response.Header.Del(name)
 	}
 	response.Header.Del(fasthttp.HeaderContentLength)
@@ -232,7 +232,7 @@
 }
 
 // hopHeaders concern one connection and are not passed on.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	fasthttp.HeaderConnection,
 	fasthttp.HeaderKeepAlive,
 	fasthttp.HeaderProxyAuthenticate,
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -50,14 +50,14 @@
 	stopping atomic.Bool
 	inFlight atomic.Int64
 	// stopAsked is closed once an operator asks for a planned stop.
-	stopAsked chan struct{}
-	stopOnce  sync.Once
+	stopRequested chan struct{}
+	stopOnce      sync.Once
 
 	mu      sync.Mutex
 	pools   map[string]*pool.Pool
 	clients map[string]*endpoint.Client
 	// listed are the addresses that the box list shows as leaving.
-	listed map[string]bool
+	leavingAddresses map[string]bool
 }
 
 // listeners are the sockets of one box.
@@ -77,15 +77,15 @@
 		return err
 	}
 	// The work behind callers outlives the context by the time of a drain.
-	behind, stopBehind := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopBehind()
-	group, behind := errgroup.WithContext(behind)
-	group.Go(func() error { return r.exchange.Run(behind, sockets.peer) })
-	group.Go(func() error { return r.claims.Run(behind) })
-	group.Go(func() error { return r.followHead(behind) })
-	group.Go(func() error { return r.followBoxList(behind) })
-	group.Go(func() error { return r.followPeers(behind) })
-	group.Go(func() error { return r.followReports(behind) })
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWork()
+	group, workCtx := errgroup.WithContext(workCtx)
+	group.Go(func() error { return r.exchange.Run(workCtx, sockets.peer) })
+	group.Go(func() error { return r.claims.Run(workCtx) })
+	group.Go(func() error { return r.pollHead(workCtx) })
+	group.Go(func() error { return r.pollBoxList(workCtx) })
+	group.Go(func() error { return r.updatePeerDemand(workCtx) })
+	group.Go(func() error { return r.pollReports(workCtx) })
 	operators := r.operatorServer()
 	group.Go(func() error { return operators.Serve(sockets.operator) })
 	callers := r.callerServer()
@@ -97,11 +97,11 @@
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-r.stopAsked:
-		case <-behind.Done():
+		case <-r.stopRequested:
+		case <-workCtx.Done():
 		}
 		drainErr := r.drain(callers)
-		stopBehind()
+		stopWork()
 		return trace.NewAggregate(drainErr, operators.Shutdown())
 	})
 	return group.Wait()
@@ -111,7 +111,7 @@
 	r.logs = logflags.Logs{Settings: r.Box.Log}
 	r.log = r.logs.For(logflags.Box)
 	r.incarnation = rand.Uint64()
-	r.stopAsked = make(chan struct{})
+	r.stopRequested = make(chan struct{})
 	r.pools = map[string]*pool.Pool{}
 	r.clients = map[string]*endpoint.Client{}
 	if r.Metrics == nil {
@@ -191,17 +191,17 @@
 		DisablePreParseMultipartForm: true,
 		NoDefaultContentType:         true,
 		CloseOnShutdown:              true,
-		Logger:                       quietLogger{r.logs.For(logflags.Caller)},
+		Logger:                       debugLogger{r.logs.For(logflags.Caller)},
 	}
 }
 
 // quietLogger passes the library's own words on at the debug level.
-type quietLogger struct {
+type debugLogger struct {
 	log *zap.Logger
 }
 
 // Printf logs a message of the library.
-func (l quietLogger) Printf(format string, args ...any) {
+func (l debugLogger) Printf(format string, args ...any) {
 	l.log.Sugar().Debugf(format, args...)
 }
 
@@ -231,7 +231,7 @@
 }
 
 // poolsNow returns all pools by name.
-func (r *Router) poolsNow() map[string]*pool.Pool {
+func (r *Router) allPools() map[string]*pool.Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	pools := make(map[string]*pool.Pool, len(r.pools))
@@ -273,7 +273,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.current.Load(); now != nil && revision <= now.revision {
+	if current := r.current.Load(); current != nil && revision <= current.revision {
 		return nil
 	}
 	for name, rules := range fleet.Pools {
@@ -297,6 +297,6 @@
 	}
 	p.Do(func(s *pool.Schedule, now time.Time) {
 		s.Configure(rules, customers)
-		s.ListLeaving(r.listed)
+		s.SetLeaving(r.leavingAddresses)
 	})
 }
--- a/pkg/router/view.go
+++ b/pkg/router/view.go
@@ -106,7 +106,7 @@
 }
 
 // poolOfPath finds the plain pool of a path.
-func (v *view) poolOfPath(path string) (string, bool) {
+func (v *view) poolForPath(path string) (string, bool) {
 	for _, rule := range v.paths {
 		if strings.HasPrefix(path, rule.prefix) {
 			return rule.pool, true
@@ -116,7 +116,7 @@
 }
 
 // allowed tells whether a customer may use a pool.
-func (v *view) allowed(customer, pool string) bool {
+func (v *view) canUsePool(customer, pool string) bool {
 	pools := v.fleet.Customers[customer].Pools
 	if len(pools) == 0 {
 		return true
@@ -131,9 +131,9 @@
 
 // classify finds the class of a request: the one it names, or the tightest one
 // whose limit its own output limit is within.
-func (v *view) classify(named string, maxOutputTokens int) (name string, quick bool) {
-	if class, ok := v.fleet.Classes[named]; ok {
-		return named, class.Quick
+func (v *view) classify(className string, maxOutputTokens int) (name string, quick bool) {
+	if class, ok := v.fleet.Classes[className]; ok {
+		return className, class.Quick
 	}
 	for _, rule := range v.classes {
 		if maxOutputTokens > 0 && maxOutputTokens <= rule.MaxOutputTokens {
@@ -144,7 +144,7 @@
 }
 
 // mayRepeat tells whether a call to a plain pool may be sent more than once.
-func mayRepeat(rules *settings.Pool, method, path string) bool {
+func isRepeatable(rules *settings.Pool, method, path string) bool {
 	for _, rule := range rules.NotRepeatable {
 		ruleMethod, prefix, _ := strings.Cut(rule, " ")
 		if ruleMethod == method && strings.HasPrefix(path, prefix) {
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -28,8 +28,8 @@
 	c.require(err == nil, path, "%q is no IP address with a port, such as 127.0.0.1:8080", value)
 }
 
-func (c *checker) atLeast(path string, value, least int) {
-	c.require(value >= least, path, "is %d, must be at least %d", value, least)
+func (c *checker) atLeast(path string, value, minimum int) {
+	c.require(value >= minimum, path, "is %d, must be at least %d", value, minimum)
 }
 
 func (c *checker) positive(path string, value Duration) {
--- a/pkg/settings/difference.go
+++ b/pkg/settings/difference.go
@@ -19,21 +19,21 @@
 // Difference lists the paths in which two settings differ, in order.
 func Difference(before, after *Fleet) (changes []Change, err error) {
 	defer func() { err = trace.Wrap(err, "comparing settings") }()
-	was, err := Flatten(before)
+	beforeValues, err := Flatten(before)
 	if err != nil {
 		return nil, err
 	}
-	is, err := Flatten(after)
+	afterValues, err := Flatten(after)
 	if err != nil {
 		return nil, err
 	}
-	for path, value := range was {
-		if is[path] != value {
-			changes = append(changes, Change{Path: path, Before: value, After: is[path]})
+	for path, value := range beforeValues {
+		if afterValues[path] != value {
+			changes = append(changes, Change{Path: path, Before: value, After: afterValues[path]})
 		}
 	}
-	for path, value := range is {
-		if _, known := was[path]; !known {
+	for path, value := range afterValues {
+		if _, known := beforeValues[path]; !known {
 			changes = append(changes, Change{Path: path, After: value})
 		}
 	}
--- a/pkg/settings/duration.go
+++ b/pkg/settings/duration.go
@@ -12,7 +12,7 @@
 	time.Duration
 	// fault says what is wrong with the text that was read. The decoder gives no
 	// position for an error of UnmarshalText, so it is reported by the check.
-	fault string
+	problem string
 }
 
 // UnmarshalText reads a duration with its unit. Negative durations are refused
@@ -22,25 +22,25 @@
 	parsed, err := time.ParseDuration(string(text))
 	switch {
 	case err != nil:
-		d.fault = fmt.Sprintf("%q is no duration: write a number with a unit, such as \"250ms\"", text)
+		d.problem = fmt.Sprintf("%q is no duration: write a number with a unit, such as \"250ms\"", text)
 	case parsed < 0:
-		d.fault = fmt.Sprintf("%q is negative", text)
+		d.problem = fmt.Sprintf("%q is negative", text)
 	}
 	d.Duration = parsed
 	return nil
 }
 
 // durationFaults finds the durations that were read wrongly, by key path.
-func durationFaults(value reflect.Value, path string) (problems []*Problem) {
+func durationProblems(value reflect.Value, path string) (problems []*Problem) {
 	if duration, ok := value.Interface().(Duration); ok {
-		if duration.fault == "" {
+		if duration.problem == "" {
 			return nil
 		}
-		return []*Problem{{Path: path, Message: duration.fault}}
+		return []*Problem{{Path: path, Message: duration.problem}}
 	}
 	switch value.Kind() {
 	case reflect.Pointer:
-		return durationFaults(value.Elem(), path)
+		return durationProblems(value.Elem(), path)
 	case reflect.Struct:
 		for i := range value.NumField() {
 			field := value.Type().Field(i)
@@ -48,11 +48,11 @@
 			if field.Anonymous {
 				inner = path
 			}
-			problems = append(problems, durationFaults(value.Field(i), inner)...)
+			problems = append(problems, durationProblems(value.Field(i), inner)...)
 		}
 	case reflect.Map:
 		for _, key := range value.MapKeys() {
-			problems = append(problems, durationFaults(value.MapIndex(key), joinPath(path, key.String()))...)
+			problems = append(problems, durationProblems(value.MapIndex(key), joinPath(path, key.String()))...)
 		}
 	}
 	return problems
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -44,7 +44,7 @@
 	if err := decoder.Decode(into); err != nil {
 		return &InvalidError{Problems: decodeProblems(file, err)}
 	}
-	problems := durationFaults(reflect.ValueOf(into), "")
+	problems := durationProblems(reflect.ValueOf(into), "")
 	if len(problems) == 0 {
 		return nil
 	}
@@ -63,8 +63,8 @@
 		}}}
 	}
 	line := []byte(key + " = " + value)
-	var probe map[string]any
-	if toml.Unmarshal(line, &probe) != nil {
+	var parsed map[string]any
+	if toml.Unmarshal(line, &parsed) != nil {
 		line = fmt.Appendf(nil, "%s = %q", key, value)
 	}
 	return decodeStrict("--set "+override, line, into)
@@ -96,7 +96,7 @@
 	if err := decoder.Decode(fleet); err != nil {
 		return nil, err
 	}
-	problems := append(durationFaults(reflect.ValueOf(fleet), ""), checkFleet(fleet)...)
+	problems := append(durationProblems(reflect.ValueOf(fleet), ""), checkFleet(fleet)...)
 	if len(problems) > 0 {
 		return nil, &InvalidError{Problems: problems}
 	}
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -69,25 +69,25 @@
 		dir := t.TempDir()
 		deeper := filepath.Join(dir, "deeper")
 		So(os.Mkdir(deeper, 0o755), ShouldBeNil)
-		top := "[Customers.a]\nShare = 2.0\nQueueLength = 7\n[Customers.b]\nShare = 3.0\n"
-		below := "[Customers.a]\nShare = 5.0\n[Customers.b]\nDelete = true\n"
-		So(os.WriteFile(filepath.Join(dir, "top.toml"), []byte(top), 0o644), ShouldBeNil)
-		So(os.WriteFile(filepath.Join(deeper, "below.toml"), []byte(below), 0o644), ShouldBeNil)
+		parentText := "[Customers.a]\nShare = 2.0\nQueueLength = 7\n[Customers.b]\nShare = 3.0\n"
+		childText := "[Customers.a]\nShare = 5.0\n[Customers.b]\nDelete = true\n"
+		So(os.WriteFile(filepath.Join(dir, "top.toml"), []byte(parentText), 0o644), ShouldBeNil)
+		So(os.WriteFile(filepath.Join(deeper, "below.toml"), []byte(childText), 0o644), ShouldBeNil)
 		fleet, err := settings.LoadFleet(dir)
 		So(err, ShouldBeNil)
 		So(fleet.Customers["a"].Share, ShouldEqual, 5)
 		So(fleet.Customers["a"].QueueLength, ShouldEqual, 7)
-		_, stays := fleet.Customers["b"]
-		So(stays, ShouldBeFalse)
+		_, found := fleet.Customers["b"]
+		So(found, ShouldBeFalse)
 	})
 	Convey("A snapshot holds what the tree says, and a damaged one is refused", t, func() {
 		fleet, err := settings.LoadFleet(filepath.Join(fixtures, "kervelo"))
 		So(err, ShouldBeNil)
 		snapshot, err := settings.EncodeSnapshot(fleet)
 		So(err, ShouldBeNil)
-		again, err := settings.DecodeSnapshot(snapshot)
+		decoded, err := settings.DecodeSnapshot(snapshot)
 		So(err, ShouldBeNil)
-		So(again, ShouldResemble, fleet)
+		So(decoded, ShouldResemble, fleet)
 		_, err = settings.DecodeSnapshot(snapshot[:len(snapshot)/2])
 		So(err, ShouldNotBeNil)
 	})
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -68,9 +68,9 @@
 		return nil, err
 	}
 	if info.IsDir() {
-		err = reader.directory(path, defaults)
+		err = reader.readDirectory(path, defaults)
 	} else {
-		_, err = reader.file(path, defaults)
+		_, err = reader.readFile(path, defaults)
 	}
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	if len(reader.problems) > 0 {
 		return nil, &InvalidError{Problems: reader.problems}
 	}
-	return reader.finish()
+	return reader.buildFleet()
 }
 
 // treeReader collects what the branches say, in order.
@@ -88,7 +88,7 @@
 	problems []*Problem
 }
 
-func (r *treeReader) directory(path string, defaults table) error {
+func (r *treeReader) readDirectory(path string, defaults table) error {
 	entries, err := os.ReadDir(path)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 		if entry.IsDir() || filepath.Ext(entry.Name()) != ".toml" {
 			continue
 		}
-		defaults, err = r.file(filepath.Join(path, entry.Name()), defaults)
+		defaults, err = r.readFile(filepath.Join(path, entry.Name()), defaults)
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 		if !isBranch(entry) {
 			continue
 		}
-		if err := r.directory(filepath.Join(path, entry.Name()), defaults); err != nil {
+		if err := r.readDirectory(filepath.Join(path, entry.Name()), defaults); err != nil {
 			return err
 		}
 	}
@@ -120,7 +120,7 @@
 
 // file merges one file into the result and returns the defaults that hold for
 // what comes after it in its branch.
-func (r *treeReader) file(path string, defaults table) (table, error) {
+func (r *treeReader) readFile(path string, defaults table) (table, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -134,20 +134,20 @@
 		return nil, err
 	}
 	r.sources = append(r.sources, source{file: path, lines: keyLines(text)})
-	own, _ := content["Defaults"].(table)
-	defaults = merged(defaults, own)
-	r.entries("Classes", content, subTable(defaults, "Class"))
-	r.entries("Customers", content, subTable(defaults, "Customer"))
+	ownDefaults, _ := content["Defaults"].(table)
+	defaults = mergeTables(defaults, ownDefaults)
+	r.mergeEntries("Classes", content, subTable(defaults, "Class"))
+	r.mergeEntries("Customers", content, subTable(defaults, "Customer"))
 	poolDefaults := subTable(defaults, "Pool")
 	endpointDefaults := subTable(defaults, "Endpoint")
-	r.entries("Pools", content, poolDefaults)
+	r.mergeEntries("Pools", content, poolDefaults)
 	fillEndpoints(subTable(r.result, "Pools"), subTable(content, "Pools"), endpointDefaults)
 	return defaults, nil
 }
 
 // entries merges the entries of one kind. An entry starts from the defaults of
 // the branch that first names it.
-func (r *treeReader) entries(kind string, content, defaults table) {
+func (r *treeReader) mergeEntries(kind string, content, defaults table) {
 	all, _ := r.result[kind].(table)
 	if all == nil {
 		all = table{}
@@ -163,7 +163,7 @@
 		if !known {
 			base = defaults
 		}
-		all[name] = merged(base, entry)
+		all[name] = mergeTables(base, entry)
 	}
 }
 
@@ -174,12 +174,12 @@
 		endpoints := subTable(pool, "Endpoints")
 		for endpointName, value := range endpoints {
 			endpoint, _ := value.(table)
-			endpoints[endpointName] = merged(defaults, endpoint)
+			endpoints[endpointName] = mergeTables(defaults, endpoint)
 		}
 	}
 }
 
-func (r *treeReader) finish() (*Fleet, error) {
+func (r *treeReader) buildFleet() (*Fleet, error) {
 	text, err := json.Marshal(r.result)
 	if err != nil {
 		return nil, err
@@ -217,20 +217,20 @@
 }
 
 // merged returns base overridden by over; neither is changed.
-func merged(base, over table) table {
-	result := make(table, len(base)+len(over))
+func mergeTables(base, override table) table {
+	result := make(table, len(base)+len(override))
 	for key, value := range base {
 		result[key] = value
 	}
-	for key, value := range over {
+	for key, value := range override {
 		overTable, isTable := value.(table)
 		baseTable, wasTable := result[key].(table)
 		if isTable && wasTable {
-			result[key] = merged(baseTable, overTable)
+			result[key] = mergeTables(baseTable, overTable)
 			continue
 		}
 		if isTable {
-			value = merged(nil, overTable)
+			value = mergeTables(nil, overTable)
 		}
 		result[key] = value
 	}
