--- a/cmd/quaybench/cmds/commands.go
+++ b/cmd/quaybench/cmds/commands.go
@@ -11,7 +11,7 @@
 )
 
 // errNotZero reports that a count that must be zero is not.
-var errNotZero = errors.New("a count that must be zero is not")
+var errCheckFailed = errors.New("a count that must be zero is not")
 
 // Execute runs the command line and returns the exit status.
 func Execute() int {
--- a/cmd/quaybench/cmds/compare.go
+++ b/cmd/quaybench/cmds/compare.go
@@ -26,7 +26,7 @@
 			return opts.compare(command, args, rounds)
 		},
 	}
-	opts.add(command)
+	opts.addFlags(command)
 	command.Flags().IntVar(&rounds, "rounds", 3, "how often the two are run in turn")
 	return command
 }
@@ -34,27 +34,27 @@
 // compare runs both experiments in turn, so that a noisy machine is as noisy
 // for both. The trace of a round is the same for both.
 func (o *runOptions) compare(command *cobra.Command, files []string, rounds int) error {
-	dir, clean, err := o.folder()
+	dir, cleanup, err := o.outputDir()
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer cleanup()
 	table := tabwriter.NewWriter(command.OutOrStdout(), 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "Round\tMeasure\tA\tB\tB/A")
 	for round := range rounds {
-		var pair [2]measure.Result
+		var results [2]measure.Result
 		for i, file := range files {
 			e, err := experiment.Load(file)
 			if err != nil {
 				return err
 			}
 			out := filepath.Join(dir, fmt.Sprintf("%d-%s", round, "AB"[i:i+1]))
-			pair[i], err = o.quiet(command.Context(), e, out, o.seed+uint64(round))
+			results[i], err = o.runQuietly(command.Context(), e, out, o.seed+uint64(round))
 			if err != nil {
 				return err
 			}
 		}
-		for _, line := range ratios(&pair[0], &pair[1]) {
+		for _, line := range ratios(&results[0], &results[1]) {
 			fmt.Fprintf(table, "%d\t%s\n", round+1, line)
 		}
 	}
@@ -62,7 +62,7 @@
 }
 
 // quiet runs an experiment without progress lines.
-func (o *runOptions) quiet(ctx context.Context, e experiment.Experiment, dir string, seed uint64) (result measure.Result, err error) {
+func (o *runOptions) runQuietly(ctx context.Context, e experiment.Experiment, dir string, seed uint64) (result measure.Result, err error) {
 	bin, err := binDir()
 	if err != nil {
 		return result, err
@@ -76,16 +76,16 @@
 
 // ratios gives a line for each measure: its name, both values and B/A.
 func ratios(a, b *measure.Result) (lines []string) {
-	line := func(name string, x, y float64) {
+	addLine := func(name string, x, y float64) {
 		lines = append(lines, fmt.Sprintf("%s\t%.3f\t%.3f\t%.3f", name, x, y, y/x))
 	}
-	line("FairnessGap", a.FairnessGap, b.FairnessGap)
-	line("Utilisation", a.Utilisation, b.Utilisation)
-	line("ControlBytesPerSecond", a.ControlBytesPerSecond, b.ControlBytesPerSecond)
-	line("TokensPerSecond", a.TokensPerSecond, b.TokensPerSecond)
+	addLine("FairnessGap", a.FairnessGap, b.FairnessGap)
+	addLine("Utilisation", a.Utilisation, b.Utilisation)
+	addLine("ControlBytesPerSecond", a.ControlBytesPerSecond, b.ControlBytesPerSecond)
+	addLine("TokensPerSecond", a.TokensPerSecond, b.TokensPerSecond)
 	for class, first := range a.FirstToken {
-		line("FirstTokenP50 "+class, first.P50, b.FirstToken[class].P50)
-		line("FirstTokenP99 "+class, first.P99, b.FirstToken[class].P99)
+		addLine("FirstTokenP50 "+class, first.P50, b.FirstToken[class].P50)
+		addLine("FirstTokenP99 "+class, first.P99, b.FirstToken[class].P99)
 	}
 	return lines
 }
@@ -100,56 +100,56 @@
 			return opts.experiments(command, args)
 		},
 	}
-	opts.add(command)
+	opts.addFlags(command)
 	return command
 }
 
 // experiments prints a line for each file. It fails if a count that must be
 // zero is not; a goal that is missed only shows in the table.
 func (o *runOptions) experiments(command *cobra.Command, files []string) error {
-	dir, clean, err := o.folder()
+	dir, cleanup, err := o.outputDir()
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer cleanup()
 	table := tabwriter.NewWriter(command.OutOrStdout(), 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "Experiment\tFairnessGap\tBound\tToOneQueue\tUtilisation\tControlB/s\tStarved\tQuickP99ms\tZero")
-	allZero := true
+	allPassed := true
 	for _, file := range files {
-		row, zero, err := o.experimentRow(command, dir, file)
+		row, passed, err := o.experimentRow(command, dir, file)
 		if err != nil {
 			return trace.Wrap(err, "experiment %s", file)
 		}
 		fmt.Fprintln(table, row)
-		allZero = allZero && zero
+		allPassed = allPassed && passed
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if !allZero {
-		return errNotZero
+	if !allPassed {
+		return errCheckFailed
 	}
 	return nil
 }
 
-func (o *runOptions) experimentRow(command *cobra.Command, dir, file string) (row string, zero bool, err error) {
+func (o *runOptions) experimentRow(command *cobra.Command, dir, file string) (row string, passed bool, err error) {
 	e, err := experiment.Load(file)
 	if err != nil {
 		return "", false, err
 	}
 	name := strings.TrimSuffix(filepath.Base(file), ".toml")
 	fmt.Fprintln(command.ErrOrStderr(), "running", name)
-	result, err := o.quiet(command.Context(), e, filepath.Join(dir, name), o.seed)
+	result, err := o.runQuietly(command.Context(), e, filepath.Join(dir, name), o.seed)
 	if err != nil {
 		return "", false, err
 	}
-	single, err := o.quiet(command.Context(), e.OneQueue(), filepath.Join(dir, name+"-one-queue"), o.seed)
+	oneQueue, err := o.runQuietly(command.Context(), e.OneQueue(), filepath.Join(dir, name+"-one-queue"), o.seed)
 	if err != nil {
 		return "", false, err
 	}
 	row = fmt.Sprintf("%s\t%.0f\t%.0f\t%.2f\t%.3f\t%.0f\t%d\t%.0f\t%v",
-		name, result.FairnessGap, result.FairnessBound, result.FairnessGap/single.FairnessGap,
+		name, result.FairnessGap, result.FairnessBound, result.FairnessGap/oneQueue.FairnessGap,
 		result.Utilisation, result.ControlBytesPerSecond, result.StarvedCustomers,
-		result.FirstToken["quick"].P99, result.Zero())
-	return row, result.Zero(), nil
+		result.FirstToken["quick"].P99, result.Passed())
+	return row, result.Passed(), nil
 }
--- a/cmd/quaybench/cmds/matrix.go
+++ b/cmd/quaybench/cmds/matrix.go
@@ -18,19 +18,19 @@
 			if err != nil {
 				return err
 			}
-			dir, clean, err := opts.folder()
+			dir, cleanup, err := opts.outputDir()
 			if err != nil {
 				return err
 			}
-			defer clean()
-			m := &matrix.Matrix{Bin: bin, Dir: dir, Faults: matrix.Named(names), Progress: command.ErrOrStderr()}
+			defer cleanup()
+			m := &matrix.Matrix{Bin: bin, Dir: dir, Faults: matrix.FaultsNamed(names), Progress: command.ErrOrStderr()}
 			cells, err := m.Run(command.Context())
 			if err != nil {
 				return err
 			}
 			passed, err := matrix.Print(command.OutOrStdout(), cells)
 			if err == nil && !passed {
-				err = errNotZero
+				err = errCheckFailed
 			}
 			return err
 		},
--- a/cmd/quaybench/cmds/run.go
+++ b/cmd/quaybench/cmds/run.go
@@ -21,13 +21,13 @@
 	out  string
 }
 
-func (o *runOptions) add(command *cobra.Command) {
+func (o *runOptions) addFlags(command *cobra.Command) {
 	command.Flags().Uint64Var(&o.seed, "seed", 1, "the seed of the trace")
 	command.Flags().StringVar(&o.out, "out", "", "the folder for results; a temporary one if empty")
 }
 
 // folder returns the folder for results. A temporary one is removed by clean.
-func (o *runOptions) folder() (dir string, clean func(), err error) {
+func (o *runOptions) outputDir() (dir string, cleanup func(), err error) {
 	if o.out != "" {
 		dir, err := filepath.Abs(o.out)
 		return dir, func() {}, err
@@ -50,7 +50,7 @@
 			return runOne(command, opts, e)
 		},
 	}
-	opts.add(command)
+	opts.addFlags(command)
 	return command
 }
 
@@ -60,11 +60,11 @@
 	if err != nil {
 		return err
 	}
-	dir, clean, err := opts.folder()
+	dir, cleanup, err := opts.outputDir()
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer cleanup()
 	run := &experiment.Run{
 		Experiment: e,
 		Seed:       opts.seed,
@@ -79,8 +79,8 @@
 	if err := measure.Print(command.OutOrStdout(), &result); err != nil {
 		return err
 	}
-	if !result.Zero() {
-		return errNotZero
+	if !result.Passed() {
+		return errCheckFailed
 	}
 	return nil
 }
@@ -92,23 +92,23 @@
 		Short: "Start a small fleet, load it, and print the measures",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) error {
-			err := runOne(command, opts, demo())
+			err := runOne(command, opts, demoExperiment())
 			if err == nil {
 				fmt.Fprintln(command.OutOrStdout(), "Every count that must be zero is zero.")
 			}
-			if errors.Is(err, errNotZero) {
+			if errors.Is(err, errCheckFailed) {
 				fmt.Fprintln(command.OutOrStdout(), "A count that must be zero is not.")
 			}
 			return err
 		},
 	}
-	opts.add(command)
+	opts.addFlags(command)
 	return command
 }
 
 // demo is a fleet of today's size under uneven load: three customers backlogged,
 // one of them large, quick replies beside them, and bookings.
-func demo() experiment.Experiment {
+func demoExperiment() experiment.Experiment {
 	e := experiment.Default()
 	e.Title = "demo"
 	e.Length = settings.Duration{Duration: 15 * time.Second}
--- a/cmd/quaybench/cmds/soak.go
+++ b/cmd/quaybench/cmds/soak.go
@@ -12,7 +12,7 @@
 )
 
 // errBroken reports that a promise was broken.
-var errBroken = errors.New("a promise was broken")
+var errGuaranteeViolated = errors.New("a promise was broken")
 
 func soakCommand() *cobra.Command {
 	opts := &runOptions{}
@@ -28,7 +28,7 @@
 			if run.Bin, err = binDir(); err != nil {
 				return err
 			}
-			dir, clean, err := opts.folder()
+			dir, cleanup, err := opts.outputDir()
 			if err != nil {
 				return err
 			}
@@ -40,31 +40,31 @@
 			if err != nil {
 				return err
 			}
-			return printVerdict(command, run, verdict, clean)
+			return printVerdict(command, run, verdict, cleanup)
 		},
 	}
-	opts.add(command)
+	opts.addFlags(command)
 	command.Flags().DurationVar(&run.Length, "length", 30*time.Second, "the time in which faults begin")
 	command.Flags().IntVar(&run.Boxes, "boxes", 5, "the number of routers")
 	command.Flags().IntVar(&run.Callers, "callers", 24, "the number of callers")
 	return command
 }
 
-func printVerdict(command *cobra.Command, run *soak.Soak, verdict soak.Verdict, clean func()) error {
+func printVerdict(command *cobra.Command, run *soak.Soak, verdict soak.Verdict, cleanup func()) error {
 	out := command.OutOrStdout()
 	for _, line := range verdict.Violations {
 		fmt.Fprintln(out, "broken:", line)
 	}
-	word := "passed"
+	outcome := "passed"
 	if len(verdict.Violations) > 0 {
-		word = "FAILED, logs in " + run.Dir
+		outcome = "FAILED, logs in " + run.Dir
 	} else {
-		clean()
+		cleanup()
 	}
 	fmt.Fprintf(out, "soak seed %d: %d faults, %d requests, %d answered, %d broken: %s\n",
-		run.Seed, verdict.Faults, verdict.Requests, verdict.Answered, len(verdict.Violations), word)
+		run.Seed, verdict.Faults, verdict.Requests, verdict.Answered, len(verdict.Violations), outcome)
 	if len(verdict.Violations) > 0 {
-		return errBroken
+		return errGuaranteeViolated
 	}
 	return nil
 }
--- a/cmd/quaybench/cmds/up.go
+++ b/cmd/quaybench/cmds/up.go
@@ -24,7 +24,7 @@
 			return opts.up(command)
 		},
 	}
-	opts.add(command)
+	opts.addFlags(command)
 	return command
 }
 
@@ -34,11 +34,11 @@
 	if err != nil {
 		return err
 	}
-	dir, clean, err := o.folder()
+	dir, cleanup, err := o.outputDir()
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer cleanup()
 	plan := experiment.Default().Fleet
 	plan.Classes = map[string]settings.Class{"quick": {Quick: true, MaxOutputTokens: 32}}
 	plan.Customers = map[string]settings.Customer{"ward-3": {Share: 1}, "camp-drive": {Share: 2}}
--- a/cmd/quaybench/experiment/experiment.go
+++ b/cmd/quaybench/experiment/experiment.go
@@ -120,24 +120,24 @@
 		return result, err
 	}
 	defer f.Stop()
-	overheadP50, overheadP99, err := overhead(ctx, f, r.Experiment.Sources[0].Customer)
+	overheadP50, overheadP99, err := measureOverhead(ctx, f, r.Experiment.Sources[0].Customer)
 	if err != nil {
 		return result, err
 	}
-	control := controlMeter{fleet: f}
-	if err := control.begin(); err != nil {
+	meter := controlMeter{fleet: f}
+	if err := meter.start(); err != nil {
 		return result, err
 	}
-	began := time.Now()
-	operators, err := newRace(f, r.Experiment.Operators)
+	start := time.Now()
+	operators, err := newOperatorRace(f, r.Experiment.Operators)
 	if err != nil {
 		return result, err
 	}
-	records, err := r.drive(ctx, f, operators)
+	records, err := r.runLoad(ctx, f, operators)
 	if err != nil {
 		return result, err
 	}
-	perSecond, err := control.end()
+	perSecond, err := meter.bytesPerSecond()
 	if err != nil {
 		return result, err
 	}
@@ -145,36 +145,36 @@
 	if err != nil {
 		return result, err
 	}
-	input := r.input(began, records, events)
+	input := r.measureInput(start, records, events)
 	result = measure.Compute(input)
 	result.ControlBytesPerSecond = perSecond
 	if r.Experiment.Operators.Count > 0 {
-		verdict, err := operators.judge()
+		outcome, err := operators.evaluate()
 		if err != nil {
 			return result, err
 		}
-		result.Settings = &verdict
+		result.Settings = &outcome
 	}
 	result.OverheadP50, result.OverheadP99 = overheadP50, overheadP99
 	if err := measure.Plot(input, filepath.Join(r.Dir, "service.svg")); err != nil {
 		return result, err
 	}
-	return result, r.write(result)
+	return result, r.writeResult(result)
 }
 
 // drive sends the trace while the faults follow their timetable and operators
 // change the settings.
-func (r *Run) drive(ctx context.Context, f *fleet.Fleet, operators *race) (records []load.Record, err error) {
+func (r *Run) runLoad(ctx context.Context, f *fleet.Fleet, operators *operatorRace) (records []load.Record, err error) {
 	runner := f.Caller(r.Experiment.Timeout.Duration)
-	runner.Progress = r.progress
+	runner.Progress = r.printProgress
 	arrivals := load.Trace(r.Experiment.Sources, len(f.Routers), r.Experiment.Length.Duration, r.Seed)
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return follow(ctx, f, r.Experiment.Faults) })
+	group.Go(func() error { return runSchedule(ctx, f, r.Experiment.Faults) })
 	if operators.plan.Count > 0 {
 		group.Go(func() error {
-			changing, stop := context.WithTimeout(ctx, r.Experiment.Length.Duration)
+			operatorCtx, stop := context.WithTimeout(ctx, r.Experiment.Length.Duration)
 			defer stop()
-			return operators.run(changing, r.Seed)
+			return operators.run(operatorCtx, r.Seed)
 		})
 	}
 	group.Go(func() (err error) {
@@ -184,16 +184,16 @@
 	return records, group.Wait()
 }
 
-func (r *Run) progress(at time.Duration, sent, ended int) {
+func (r *Run) printProgress(at time.Duration, sent, ended int) {
 	if r.Progress != nil {
 		fmt.Fprintf(r.Progress, "%s: %5.1fs, %d sent, %d in flight\n",
 			r.Experiment.Title, at.Seconds(), sent, sent-ended)
 	}
 }
 
-func (r *Run) input(began time.Time, records []load.Record, events []truth.Event) measure.Input {
+func (r *Run) measureInput(start time.Time, records []load.Record, events []truth.Event) measure.Input {
 	e := &r.Experiment
-	until := began.Add(e.JudgeUntil.Duration)
+	until := start.Add(e.JudgeUntil.Duration)
 	if e.JudgeUntil.Duration == 0 {
 		for _, record := range records {
 			if record.End.After(until) {
@@ -209,12 +209,12 @@
 		InputWeight:  defaults.InputWeight,
 		OutputWeight: defaults.OutputWeight,
 		Slots:        e.Fleet.Engines * e.Fleet.Slots,
-		From:         began.Add(e.JudgeFrom.Duration),
+		From:         start.Add(e.JudgeFrom.Duration),
 		Until:        until,
 	}
 }
 
-func (r *Run) write(result measure.Result) error {
+func (r *Run) writeResult(result measure.Result) error {
 	text, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
 		return err
@@ -224,28 +224,28 @@
 
 // controlMeter measures the bytes that boxes exchange for control.
 type controlMeter struct {
-	fleet *fleet.Fleet
-	began time.Time
-	bytes int64
+	fleet      *fleet.Fleet
+	startTime  time.Time
+	startBytes int64
 }
 
-func (m *controlMeter) begin() (err error) {
-	m.began = time.Now()
-	m.bytes, err = m.read()
+func (m *controlMeter) start() (err error) {
+	m.startTime = time.Now()
+	m.startBytes, err = m.readTotal()
 	return err
 }
 
-func (m *controlMeter) end() (perSecond float64, err error) {
-	now, err := m.read()
+func (m *controlMeter) bytesPerSecond() (perSecond float64, err error) {
+	now, err := m.readTotal()
 	if err != nil {
 		return 0, err
 	}
 	boxes := float64(len(m.fleet.Routers))
-	return float64(now-m.bytes) / boxes / time.Since(m.began).Seconds(), nil
+	return float64(now-m.startBytes) / boxes / time.Since(m.startTime).Seconds(), nil
 }
 
 // read sums what the boxes exchanged with each other, and with the platform.
-func (m *controlMeter) read() (total int64, err error) {
+func (m *controlMeter) readTotal() (total int64, err error) {
 	for _, router := range m.fleet.Routers {
 		status, err := router.Status()
 		if err != nil {
@@ -262,12 +262,12 @@
 func (e Experiment) OneQueue() Experiment {
 	e.Title += " (one queue)"
 	e.Fleet.Routers = 1
-	var kept []Step
+	var steps []Step
 	for _, step := range e.Faults {
 		if len(step.Routers) == 0 && step.Action != Rejoin {
-			kept = append(kept, step)
+			steps = append(steps, step)
 		}
 	}
-	e.Faults = kept
+	e.Faults = steps
 	return e
 }
--- a/cmd/quaybench/experiment/experiment_test.go
+++ b/cmd/quaybench/experiment/experiment_test.go
@@ -42,7 +42,7 @@
 		Convey("every caller gets its whole answer, and every count is zero", func() {
 			So(result.Requests, ShouldBeGreaterThan, 0)
 			So(result.Whole, ShouldEqual, result.Requests)
-			So(result.Zero(), ShouldBeTrue)
+			So(result.Passed(), ShouldBeTrue)
 		})
 	})
 }
--- a/cmd/quaybench/experiment/operators.go
+++ b/cmd/quaybench/experiment/operators.go
@@ -38,14 +38,14 @@
 }
 
 // sighting is the revision that a router had in force at a time.
-type sighting struct {
+type observation struct {
 	at          time.Time
 	incarnation uint64
 	revision    uint64
 }
 
 // race is one run of the operators.
-type race struct {
+type operatorRace struct {
 	fleet *fleet.Fleet
 	plan  Operators
 	tree  *settings.Fleet
@@ -56,41 +56,41 @@
 	conflicts int
 	unknown   int
 	// sightings are by router, in order of time.
-	sightings map[string][]sighting
+	observations map[string][]observation
 }
 
 // watchInterval is the time between two looks at a router's revision, and so
 // the grain of the times until settings are in force.
-const watchInterval = 20 * time.Millisecond
+const revisionPollInterval = 20 * time.Millisecond
 
 // proposalTimeout bounds an operator's tries at a failing store.
 const proposalTimeout = 5 * time.Second
 
-func newRace(f *fleet.Fleet, plan Operators) (r *race, err error) {
+func newOperatorRace(f *fleet.Fleet, plan Operators) (r *operatorRace, err error) {
 	defer func() { err = trace.Wrap(err, "preparing the operators") }()
 	tree, err := settings.LoadFleet(f.TreeFile())
 	if err != nil {
 		return nil, err
 	}
-	reach := settings.DefaultBox().Platform
-	reach.Address = f.Platform.Address
-	return &race{
-		fleet:     f,
-		plan:      plan,
-		tree:      tree,
-		store:     &platform.Store{Settings: reach},
-		sightings: map[string][]sighting{},
+	platformSettings := settings.DefaultBox().Platform
+	platformSettings.Address = f.Platform.Address
+	return &operatorRace{
+		fleet:        f,
+		plan:         plan,
+		tree:         tree,
+		store:        &platform.Store{Settings: platformSettings},
+		observations: map[string][]observation{},
 	}, nil
 }
 
 // run lets operators change settings until the context ends, and watches all
 // routers a little longer.
-func (r *race) run(ctx context.Context, seed uint64) error {
-	watching, stop := context.WithCancel(context.WithoutCancel(ctx))
+func (r *operatorRace) run(ctx context.Context, seed uint64) error {
+	watchCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	watchers := errgroup.Group{}
 	for _, router := range r.fleet.Routers {
 		watchers.Go(func() error {
-			r.watch(watching, router)
+			r.pollRevision(watchCtx, router)
 			return nil
 		})
 	}
@@ -98,7 +98,7 @@
 	for i := range r.plan.Count {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
 		operators.Go(func() error {
-			r.operate(ctx, fmt.Sprintf("operator-%d", i), random)
+			r.runOperator(ctx, fmt.Sprintf("operator-%d", i), random)
 			return nil
 		})
 	}
@@ -110,7 +110,7 @@
 }
 
 // operate changes one value after the other, as quayctl does.
-func (r *race) operate(ctx context.Context, name string, random *rand.Rand) {
+func (r *operatorRace) runOperator(ctx context.Context, name string, random *rand.Rand) {
 	repository := revision.Repository{Store: r.store}
 	for interval.Wait(ctx, interval.Jittered(r.plan.Pause.Duration)) == nil {
 		head, _, err := repository.Head()
@@ -118,14 +118,14 @@
 			continue
 		}
 		proposal := revision.Proposal{
-			Fleet:    r.change(random),
+			Fleet:    r.randomChange(random),
 			Expect:   head.Revision,
 			Author:   name,
 			Nonce:    crand.Text(),
 			Deadline: time.Now().Add(proposalTimeout),
 		}
 		accepted, err := repository.Accept(proposal)
-		r.note(accepted, proposal.Nonce, err)
+		r.recordProposal(accepted, proposal.Nonce, err)
 		if err == nil {
 			router := r.fleet.Routers[random.IntN(len(r.fleet.Routers))]
 			// A router that does not answer finds the settings by itself.
@@ -135,7 +135,7 @@
 }
 
 // change gives settings with one value changed.
-func (r *race) change(random *rand.Rand) *settings.Fleet {
+func (r *operatorRace) randomChange(random *rand.Rand) *settings.Fleet {
 	changed := *r.tree
 	changed.Customers = map[string]settings.Customer{}
 	for name, customer := range r.tree.Customers {
@@ -145,7 +145,7 @@
 	return &changed
 }
 
-func (r *race) note(head revision.Head, nonce string, err error) {
+func (r *operatorRace) recordProposal(head revision.Head, nonce string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var conflict *revision.ConflictError
@@ -160,14 +160,14 @@
 }
 
 // watch records a router's revision again and again.
-func (r *race) watch(ctx context.Context, router *fleet.Router) {
-	for interval.Wait(ctx, watchInterval) == nil {
+func (r *operatorRace) pollRevision(ctx context.Context, router *fleet.Router) {
+	for interval.Wait(ctx, revisionPollInterval) == nil {
 		status, err := router.Status()
 		if err != nil {
 			continue
 		}
 		r.mu.Lock()
-		r.sightings[router.Name] = append(r.sightings[router.Name], sighting{
+		r.observations[router.Name] = append(r.observations[router.Name], observation{
 			at:          time.Now(),
 			incarnation: status.Incarnation,
 			revision:    status.Revision,
@@ -178,45 +178,45 @@
 
 // judge holds what operators were told against the store's history, and the
 // routers' revisions against both.
-func (r *race) judge() (verdict measure.Settings, err error) {
+func (r *operatorRace) evaluate() (result measure.Settings, err error) {
 	defer func() { err = trace.Wrap(err, "judging the operators' race") }()
 	repository := revision.Repository{Store: r.store}
-	verdict = measure.Settings{
+	result = measure.Settings{
 		Acceptances: len(r.accepted),
 		Conflicts:   r.conflicts,
 		Unknown:     r.unknown,
 	}
-	told := map[uint64]bool{}
-	for _, one := range r.accepted {
-		if told[one.revision] {
-			verdict.DoubleAcceptances++
+	revisions := map[uint64]bool{}
+	for _, accepted := range r.accepted {
+		if revisions[accepted.revision] {
+			result.DoubleAcceptances++
 		}
-		told[one.revision] = true
-		entry, err := repository.Entry(one.revision)
+		revisions[accepted.revision] = true
+		entry, err := repository.Entry(accepted.revision)
 		if err != nil {
-			return verdict, err
+			return result, err
 		}
-		if entry.Nonce != one.nonce {
-			verdict.LostAcceptances++
+		if entry.Nonce != accepted.nonce {
+			result.LostAcceptances++
 		}
 	}
 	var delays []time.Duration
-	for _, seen := range r.sightings {
-		verdict.Reverts += reverts(seen)
-		for _, one := range r.accepted {
-			delays = append(delays, inForceAfter(seen, one)...)
+	for _, observed := range r.observations {
+		result.Reverts += countReverts(observed)
+		for _, accepted := range r.accepted {
+			delays = append(delays, inForceDelay(observed, accepted)...)
 		}
 	}
 	quantiles := measure.Quantiles(delays)
-	verdict.InForceP50, verdict.InForceP99 = quantiles.P50, quantiles.P99
-	return verdict, nil
+	result.InForceP50, result.InForceP99 = quantiles.P50, quantiles.P99
+	return result, nil
 }
 
 // reverts counts the times at which a router went back to a lower revision
 // without having started anew.
-func reverts(seen []sighting) (count int) {
-	for i := 1; i < len(seen); i++ {
-		if seen[i].incarnation == seen[i-1].incarnation && seen[i].revision < seen[i-1].revision {
+func countReverts(observed []observation) (count int) {
+	for i := 1; i < len(observed); i++ {
+		if observed[i].incarnation == observed[i-1].incarnation && observed[i].revision < observed[i-1].revision {
 			count++
 		}
 	}
@@ -225,24 +225,24 @@
 
 // reachGap is the time without a sighting from which a router counts as not
 // reachable, as when it is killed or paused.
-const reachGap = 500 * time.Millisecond
+const unreachableTimeout = 500 * time.Millisecond
 
 // inForceAfter is the time from an acceptance, or from when the router was
 // reachable again, to the revision or a later one being in force there. A
 // router that never had it while it was watched gives the whole time.
-func inForceAfter(seen []sighting, one acceptance) []time.Duration {
-	from := one.at
-	first := slices.IndexFunc(seen, func(s sighting) bool { return s.at.After(one.at) })
+func inForceDelay(observed []observation, accepted acceptance) []time.Duration {
+	from := accepted.at
+	first := slices.IndexFunc(observed, func(s observation) bool { return s.at.After(accepted.at) })
 	if first < 0 {
 		return nil
 	}
-	last := one.at
-	for _, s := range seen[first:] {
-		if s.at.Sub(last) > reachGap {
+	last := accepted.at
+	for _, s := range observed[first:] {
+		if s.at.Sub(last) > unreachableTimeout {
 			from = s.at
 		}
 		last = s.at
-		if s.revision >= one.revision {
+		if s.revision >= accepted.revision {
 			return []time.Duration{max(0, s.at.Sub(from))}
 		}
 	}
--- a/cmd/quaybench/experiment/step.go
+++ b/cmd/quaybench/experiment/step.go
@@ -51,24 +51,24 @@
 }
 
 // follow carries out the timetable.
-func follow(ctx context.Context, f *fleet.Fleet, steps []Step) error {
-	began := time.Now()
+func runSchedule(ctx context.Context, f *fleet.Fleet, steps []Step) error {
+	start := time.Now()
 	for _, step := range steps {
-		timer := time.NewTimer(time.Until(began.Add(step.At.Duration)))
+		timer := time.NewTimer(time.Until(start.Add(step.At.Duration)))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 			return nil
 		}
-		if err := step.do(f); err != nil {
+		if err := step.apply(f); err != nil {
 			return trace.Wrap(err, "step %s at %s", step.Action, step.At)
 		}
 	}
 	return nil
 }
 
-func (s *Step) do(f *fleet.Fleet) error {
+func (s *Step) apply(f *fleet.Fleet) error {
 	switch s.Action {
 	case Partition:
 		return f.Partition(s.Routers)
@@ -76,9 +76,9 @@
 		return f.Rejoin()
 	case Leave:
 		leaving := true
-		return s.eachEngine(f, engine.Control{Leaving: &leaving})
+		return s.controlEngines(f, engine.Control{Leaving: &leaving})
 	case Slow:
-		return s.eachEngine(f, engine.Control{Slowness: s.Factor})
+		return s.controlEngines(f, engine.Control{Slowness: s.Factor})
 	case StoreOutage:
 		return f.Platform.Control(platform.Faults{Outage: true})
 	case StoreBack:
@@ -87,14 +87,14 @@
 		return f.Platform.Control(platform.Faults{LoseAnswers: s.Factor})
 	}
 	for _, number := range s.Routers {
-		if err := s.doRouter(f.Routers[number]); err != nil {
+		if err := s.applyToRouter(f.Routers[number]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Step) doRouter(router *fleet.Router) error {
+func (s *Step) applyToRouter(router *fleet.Router) error {
 	switch s.Action {
 	case Kill:
 		router.Kill()
@@ -111,7 +111,7 @@
 	return trace.BadParameter("there is no action %q", s.Action)
 }
 
-func (s *Step) eachEngine(f *fleet.Fleet, control engine.Control) error {
+func (s *Step) controlEngines(f *fleet.Fleet, control engine.Control) error {
 	for _, number := range s.Engines {
 		if err := f.Engines[number].Control(control); err != nil {
 			return err
--- a/cmd/quaybench/fault/grid.go
+++ b/cmd/quaybench/fault/proxy.go
@@ -14,33 +14,33 @@
 )
 
 // Grid is a set of proxies by the names of their links.
-type Grid struct {
+type ProxySet struct {
 	mu      sync.Mutex
 	server  *toxiproxy.ApiServer
 	proxies map[string]*toxiproxy.Proxy
 }
 
 // NewGrid makes an empty set. The library's own server is never started.
-func NewGrid() *Grid {
-	return &Grid{
+func NewProxySet() *ProxySet {
+	return &ProxySet{
 		server:  toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop()),
 		proxies: map[string]*toxiproxy.Proxy{},
 	}
 }
 
 // Add puts a proxy before an address, and returns its own address.
-func (g *Grid) Add(link, upstream string) (address string, err error) {
+func (s *ProxySet) Add(link, upstream string) (address string, err error) {
 	defer func() { err = trace.Wrap(err, "adding a proxy for %s", link) }()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if known, ok := g.proxies[link]; ok {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if known, ok := s.proxies[link]; ok {
 		return known.Listen, nil
 	}
-	proxy := toxiproxy.NewProxy(g.server, link, "127.0.0.1:0", upstream)
+	proxy := toxiproxy.NewProxy(s.server, link, "127.0.0.1:0", upstream)
 	if err := proxy.Start(); err != nil {
 		return "", err
 	}
-	g.proxies[link] = proxy
+	s.proxies[link] = proxy
 	return proxy.Listen, nil
 }
 
@@ -65,9 +65,9 @@
 }
 
 // Inject switches a fault on, for present and future connections of a link.
-func (g *Grid) Inject(link string, toxic Toxic) (err error) {
+func (s *ProxySet) Inject(link string, toxic Toxic) (err error) {
 	defer func() { err = trace.Wrap(err, "injecting %s into %s", toxic.Type, link) }()
-	proxy, err := g.proxy(link)
+	proxy, err := s.proxy(link)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 }
 
 // Heal switches all faults of a link off.
-func (g *Grid) Heal(link string) error {
-	proxy, err := g.proxy(link)
+func (s *ProxySet) Heal(link string) error {
+	proxy, err := s.proxy(link)
 	if err != nil {
 		return err
 	}
@@ -103,8 +103,8 @@
 }
 
 // Refuse closes a link's connections and refuses new ones until Heal.
-func (g *Grid) Refuse(link string) error {
-	proxy, err := g.proxy(link)
+func (s *ProxySet) Refuse(link string) error {
+	proxy, err := s.proxy(link)
 	if err != nil {
 		return err
 	}
@@ -114,20 +114,20 @@
 
 // Cut silences a link in both directions until Heal: nothing passes, and
 // neither side is told.
-func (g *Grid) Cut(link string) error {
+func (s *ProxySet) Cut(link string) error {
 	for _, upstream := range []bool{true, false} {
 		toxic := Toxic{Type: "timeout", Upstream: upstream, Attributes: map[string]int{"timeout": 0}}
-		if err := g.Inject(link, toxic); err != nil {
+		if err := s.Inject(link, toxic); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (g *Grid) proxy(link string) (*toxiproxy.Proxy, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	proxy, ok := g.proxies[link]
+func (s *ProxySet) proxy(link string) (*toxiproxy.Proxy, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	proxy, ok := s.proxies[link]
 	if !ok {
 		return nil, trace.NotFound("there is no link %s", link)
 	}
@@ -135,10 +135,10 @@
 }
 
 // Close ends all proxies.
-func (g *Grid) Close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, proxy := range g.proxies {
+func (s *ProxySet) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, proxy := range s.proxies {
 		proxy.Stop()
 	}
 }
--- a/cmd/quaybench/fleet/address.go
+++ b/cmd/quaybench/fleet/address.go
@@ -10,7 +10,7 @@
 
 // given are the addresses that were handed out in this process. The kernel may
 // choose a port again before the process that it is meant for has started.
-var given sync.Map
+var issuedAddresses sync.Map
 
 // FreeAddress lets the kernel choose a free port. It is chosen on a loopback
 // address that only this harness uses: on 127.0.0.1 the port of an outgoing
@@ -28,7 +28,7 @@
 		if err := listener.Close(); err != nil {
 			return "", err
 		}
-		if _, taken := given.LoadOrStore(address, true); !taken {
+		if _, taken := issuedAddresses.LoadOrStore(address, true); !taken {
 			return address, nil
 		}
 	}
--- a/cmd/quaybench/fleet/fleet.go
+++ b/cmd/quaybench/fleet/fleet.go
@@ -76,7 +76,7 @@
 	Bin string
 	Dir string
 	// Grid holds the proxies when the plan asks for them.
-	Grid *fault.Grid
+	Proxies *fault.ProxySet
 
 	Routers  []*Router
 	Engines  []*Process
@@ -124,7 +124,7 @@
 		return err
 	}
 	if f.Plan.Proxied {
-		f.Grid = fault.NewGrid()
+		f.Proxies = fault.NewProxySet()
 	}
 	if err := f.startStandIns(); err != nil {
 		return err
@@ -137,7 +137,7 @@
 			return err
 		}
 	}
-	return f.awaitMesh(ctx)
+	return f.awaitPeers(ctx)
 }
 
 func (f *Fleet) startStandIns() error {
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	f.Platform, err = f.stand("platform", "platform", address, "--list-lag", f.Plan.ListLag.String())
+	f.Platform, err = f.startStandIn("platform", "platform", address, "--list-lag", f.Plan.ListLag.String())
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 		if err != nil {
 			return err
 		}
-		engine, err := f.stand(fmt.Sprintf("engine-%d", i+1), "engine", address,
+		engine, err := f.startStandIn(fmt.Sprintf("engine-%d", i+1), "engine", address,
 			"--slots", fmt.Sprint(f.Plan.Slots),
 			"--decode-interval", f.Plan.DecodeInterval.String(),
 			"--prefill-rate", fmt.Sprint(f.Plan.PrefillRate))
@@ -168,7 +168,7 @@
 		if err != nil {
 			return err
 		}
-		service, err := f.stand(fmt.Sprintf("service-%d", i+1), "plain", address,
+		service, err := f.startStandIn(fmt.Sprintf("service-%d", i+1), "plain", address,
 			"--latency", f.Plan.ServiceLatency.String())
 		if err != nil {
 			return err
@@ -179,7 +179,7 @@
 }
 
 // stand starts a stand-in.
-func (f *Fleet) stand(name, kind, address string, flags ...string) (*Process, error) {
+func (f *Fleet) startStandIn(name, kind, address string, flags ...string) (*Process, error) {
 	process := &Process{
 		Name:    name,
 		Address: address,
@@ -191,7 +191,7 @@
 	if err := process.Start(); err != nil {
 		return nil, err
 	}
-	return process, awaitAccept(address)
+	return process, awaitListening(address)
 }
 
 // TruthFile is the log of ground truth of a stand-in.
@@ -231,7 +231,7 @@
 			return err
 		}
 	}
-	if err := f.listBoxes(); err != nil {
+	if err := f.publishBoxList(); err != nil {
 		return err
 	}
 	for _, router := range f.Routers {
@@ -260,13 +260,13 @@
 		if j == i {
 			continue
 		}
-		address, err := f.through(PeerLink(router.Name, peer.Name), peer.PeerAddress)
+		address, err := f.proxiedAddress(PeerLink(router.Name, peer.Name), peer.PeerAddress)
 		if err != nil {
 			return err
 		}
 		box.Peers[peer.Name] = settings.Peer{Address: address, Zone: zones[j%len(zones)]}
 	}
-	box.Platform.Address, err = f.through(PlatformLink(router.Name), f.Platform.Address)
+	box.Platform.Address, err = f.proxiedAddress(PlatformLink(router.Name), f.Platform.Address)
 	if err != nil {
 		return err
 	}
@@ -294,15 +294,15 @@
 
 // through returns the address at which another one is reached: that of its
 // proxy, if there are proxies.
-func (f *Fleet) through(link, address string) (string, error) {
-	if f.Grid == nil {
+func (f *Fleet) proxiedAddress(link, address string) (string, error) {
+	if f.Proxies == nil {
 		return address, nil
 	}
-	return f.Grid.Add(link, address)
+	return f.Proxies.Add(link, address)
 }
 
 // listBoxes tells the platform which boxes there are.
-func (f *Fleet) listBoxes() error {
+func (f *Fleet) publishBoxList() error {
 	var boxes []platform.ListedBox
 	for i, router := range f.Routers {
 		boxes = append(boxes, platform.ListedBox{
@@ -317,7 +317,7 @@
 }
 
 // awaitMesh waits until every router hears every other one.
-func (f *Fleet) awaitMesh(ctx context.Context) error {
+func (f *Fleet) awaitPeers(ctx context.Context) error {
 	for _, router := range f.Routers {
 		err := Poll(ctx, func() (bool, error) {
 			status, err := router.Status()
@@ -343,8 +343,8 @@
 	if f.Platform != nil {
 		f.Platform.Kill()
 	}
-	if f.Grid != nil {
-		f.Grid.Close()
+	if f.Proxies != nil {
+		f.Proxies.Close()
 	}
 }
 
@@ -354,5 +354,5 @@
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+router.OperatorAddress+"/readyz", time.Second)
 		return err == nil && status == fasthttp.StatusOK, nil
 	})
-	return trace.Wrap(err, "waiting for %s to be ready; it printed:\n%s", router.Name, router.Printed())
+	return trace.Wrap(err, "waiting for %s to be ready; it printed:\n%s", router.Name, router.LogTail())
 }
--- a/cmd/quaybench/fleet/fleet_test.go
+++ b/cmd/quaybench/fleet/fleet_test.go
@@ -70,7 +70,7 @@
 }
 
 // events counts the ground truth of a request.
-func events(f *fleet.Fleet, kind truth.Kind, matches func(truth.Event) bool) (count int) {
+func countEvents(f *fleet.Fleet, kind truth.Kind, matches func(truth.Event) bool) (count int) {
 	all, err := f.Truth()
 	So(err, ShouldBeNil)
 	for _, event := range all {
@@ -92,7 +92,7 @@
 // awaitEvent waits until the ground truth shows an event.
 func awaitEvent(t *testing.T, f *fleet.Fleet, kind truth.Kind, matches func(truth.Event) bool) {
 	So(fleet.Poll(t.Context(), func() (bool, error) {
-		return events(f, kind, matches) > 0, nil
+		return countEvents(f, kind, matches) > 0, nil
 	}), ShouldBeNil)
 }
 
@@ -109,20 +109,20 @@
 					e.Kill()
 				}
 				record := wait()
-				So(record.Clean, ShouldBeFalse)
-				So(record.Fault, ShouldNotBeEmpty)
+				So(record.CleanEOF, ShouldBeFalse)
+				So(record.Error, ShouldNotBeEmpty)
 			})
 
 			Convey("a stream that the network truncates is visibly cut", func() {
 				for _, e := range f.Engines {
-					So(f.Grid.Inject(fleet.EndpointLink(e.Name), fault.Toxic{
+					So(f.Proxies.Inject(fleet.EndpointLink(e.Name), fault.Toxic{
 						Type:       "limit_data",
 						Attributes: map[string]int{"bytes": 5000},
 					}), ShouldBeNil)
 				}
 				record := caller.Call(t.Context(), long)
 				So(record.Tokens, ShouldBeGreaterThan, 0)
-				So(record.Clean, ShouldBeFalse)
+				So(record.CleanEOF, ShouldBeFalse)
 				So(record.Crossed, ShouldBeFalse)
 			})
 
@@ -145,29 +145,29 @@
 
 			Convey("with all engines refusing connections, a refusal says not-run, and none ran", func() {
 				for _, e := range f.Engines {
-					So(f.Grid.Refuse(fleet.EndpointLink(e.Name)), ShouldBeNil)
+					So(f.Proxies.Refuse(fleet.EndpointLink(e.Name)), ShouldBeNil)
 				}
 				record := caller.Call(t.Context(), load.Arrival{ID: "a", Input: 10, Output: 5, Source: modelSource})
 				So(record.Status, ShouldNotEqual, 200)
-				So(record.Run, ShouldEqual, "not-run")
-				So(events(f, truth.Started, ofRequest("a")), ShouldEqual, 0)
+				So(record.RunStatus, ShouldEqual, "not-run")
+				So(countEvents(f, truth.Started, ofRequest("a")), ShouldEqual, 0)
 			})
 
 			Convey("when the service's answer is lost, a refusal says unknown, and the call is not sent again", func() {
-				So(f.Grid.Inject(fleet.EndpointLink(f.Services[0].Name), fault.Toxic{
+				So(f.Proxies.Inject(fleet.EndpointLink(f.Services[0].Name), fault.Toxic{
 					Type:       "limit_data",
 					Attributes: map[string]int{"bytes": 10},
 				}), ShouldBeNil)
 				record := caller.Call(t.Context(), load.Arrival{ID: "b", Key: "b", Source: plainSource})
 				So(record.Status, ShouldNotEqual, 200)
-				So(record.Run, ShouldEqual, "unknown")
-				So(events(f, truth.Started, ofKey("b")), ShouldEqual, 1)
+				So(record.RunStatus, ShouldEqual, "unknown")
+				So(countEvents(f, truth.Started, ofKey("b")), ShouldEqual, 1)
 				Convey("and neither is a repeat through another router", func() {
-					So(f.Grid.Heal(fleet.EndpointLink(f.Services[0].Name)), ShouldBeNil)
+					So(f.Proxies.Heal(fleet.EndpointLink(f.Services[0].Name)), ShouldBeNil)
 					record := caller.Call(t.Context(), load.Arrival{ID: "b2", Key: "b", Router: 1, Source: plainSource})
 					So(record.Code, ShouldEqual, "outcome_unknown")
-					So(record.Run, ShouldEqual, "unknown")
-					So(events(f, truth.Started, ofKey("b")), ShouldEqual, 1)
+					So(record.RunStatus, ShouldEqual, "unknown")
+					So(countEvents(f, truth.Started, ofKey("b")), ShouldEqual, 1)
 				})
 			})
 		})
@@ -195,7 +195,7 @@
 				}
 				So(group.Wait(), ShouldBeNil)
 				for key := range 20 {
-					So(events(f, truth.Started, ofKey(fmt.Sprintf("key-%d", key))), ShouldBeLessThanOrEqualTo, 1)
+					So(countEvents(f, truth.Started, ofKey(fmt.Sprintf("key-%d", key))), ShouldBeLessThanOrEqualTo, 1)
 				}
 			})
 
@@ -207,7 +207,7 @@
 					So(again.Status, ShouldEqual, 200)
 					So(again.Runs, ShouldEqual, 1)
 				}
-				So(events(f, truth.Started, ofKey("r")), ShouldEqual, 1)
+				So(countEvents(f, truth.Started, ofKey("r")), ShouldEqual, 1)
 			})
 
 			Convey("with the store down, a keyed call is refused as not run", func() {
@@ -216,12 +216,12 @@
 					ID: "d", Key: "d", Source: plainSource, Timeout: 2 * time.Second,
 				})
 				So(record.Code, ShouldEqual, "store_unavailable")
-				So(record.Run, ShouldEqual, "not-run")
-				So(events(f, truth.Started, ofKey("d")), ShouldEqual, 0)
+				So(record.RunStatus, ShouldEqual, "not-run")
+				So(countEvents(f, truth.Started, ofKey("d")), ShouldEqual, 0)
 			})
 
 			Convey("a router paused with its call on the way does not run it a second time", func() {
-				So(f.Grid.Inject(fleet.EndpointLink(f.Services[0].Name), fault.Toxic{
+				So(f.Proxies.Inject(fleet.EndpointLink(f.Services[0].Name), fault.Toxic{
 					Type: "latency", Upstream: true, Attributes: map[string]int{"latency": 500},
 				}), ShouldBeNil)
 				wait := inBackground(t.Context(), caller, load.Arrival{ID: "p0", Key: "p", Source: plainSource})
@@ -233,8 +233,8 @@
 				repeat := caller.Call(t.Context(), load.Arrival{ID: "p1", Key: "p", Router: 1, Source: plainSource})
 				So(f.Routers[0].Continue(), ShouldBeNil)
 				wait()
-				So(events(f, truth.Started, ofKey("p")), ShouldBeLessThanOrEqualTo, 1)
-				So(repeat.Run, ShouldBeIn, "unknown", "run")
+				So(countEvents(f, truth.Started, ofKey("p")), ShouldBeLessThanOrEqualTo, 1)
+				So(repeat.RunStatus, ShouldBeIn, "unknown", "run")
 			})
 		})
 	})
@@ -256,11 +256,11 @@
 				for i := range 20 {
 					call(fmt.Sprintf("early-%d", i))
 				}
-				refused := events(f, truth.Refused, func(truth.Event) bool { return true })
+				refused := countEvents(f, truth.Refused, func(truth.Event) bool { return true })
 				for i := range 20 {
 					call(fmt.Sprintf("late-%d", i))
 				}
-				So(events(f, truth.Refused, func(truth.Event) bool { return true }), ShouldEqual, refused)
+				So(countEvents(f, truth.Refused, func(truth.Event) bool { return true }), ShouldEqual, refused)
 			})
 		})
 	})
@@ -301,8 +301,8 @@
 			Convey("the process ends, says what was left, and the stream is visibly cut", func() {
 				So(f.Routers[0].Terminate(), ShouldBeNil)
 				So(f.Routers[0].Wait(), ShouldEqual, 1)
-				So(f.Routers[0].Printed(), ShouldContainSubstring, "planned stop passed its limit\" InFlight=1")
-				So(wait().Clean, ShouldBeFalse)
+				So(f.Routers[0].LogTail(), ShouldContainSubstring, "planned stop passed its limit\" InFlight=1")
+				So(wait().CleanEOF, ShouldBeFalse)
 			})
 		})
 	})
@@ -357,7 +357,7 @@
 
 			Convey("a box cut off from its peers and the store gets the newest revision once it reaches a peer", func() {
 				So(f.Partition([]int{2}), ShouldBeNil)
-				So(f.Grid.Cut(fleet.PlatformLink(f.Routers[2].Name)), ShouldBeNil)
+				So(f.Proxies.Cut(fleet.PlatformLink(f.Routers[2].Name)), ShouldBeNil)
 				status, output := f.Quayctl(0, "apply", f.TreeFile(), "--expect", "1")
 				So(output, ShouldContainSubstring, "2")
 				So(status, ShouldEqual, 0)
--- a/cmd/quaybench/fleet/links.go
+++ b/cmd/quaybench/fleet/links.go
@@ -18,22 +18,22 @@
 // Partition cuts the routers with these numbers off from all others: nothing
 // passes either way, and nobody is told.
 func (f *Fleet) Partition(numbers []int) error {
-	return f.eachPeerLink(func(from, to int) error {
+	return f.forEachPeerLink(func(from, to int) error {
 		if slices.Contains(numbers, from) == slices.Contains(numbers, to) {
 			return nil
 		}
-		return f.Grid.Cut(PeerLink(f.Routers[from].Name, f.Routers[to].Name))
+		return f.Proxies.Cut(PeerLink(f.Routers[from].Name, f.Routers[to].Name))
 	})
 }
 
 // Rejoin heals the links between all routers.
 func (f *Fleet) Rejoin() error {
-	return f.eachPeerLink(func(from, to int) error {
-		return f.Grid.Heal(PeerLink(f.Routers[from].Name, f.Routers[to].Name))
+	return f.forEachPeerLink(func(from, to int) error {
+		return f.Proxies.Heal(PeerLink(f.Routers[from].Name, f.Routers[to].Name))
 	})
 }
 
-func (f *Fleet) eachPeerLink(visit func(from, to int) error) error {
+func (f *Fleet) forEachPeerLink(visit func(from, to int) error) error {
 	for from := range f.Routers {
 		for to := range f.Routers {
 			if from == to {
@@ -50,11 +50,11 @@
 // Truth reads the ground truth of all endpoints, in order of time.
 func (f *Fleet) Truth() (events []truth.Event, err error) {
 	for _, process := range slices.Concat(f.Engines, f.Services) {
-		own, err := truth.Read(f.TruthFile(process.Name))
+		processEvents, err := truth.Read(f.TruthFile(process.Name))
 		if err != nil {
 			return nil, err
 		}
-		events = append(events, own...)
+		events = append(events, processEvents...)
 	}
 	slices.SortStableFunc(events, func(a, b truth.Event) int { return a.At.Compare(b.At) })
 	return events, nil
@@ -72,8 +72,8 @@
 // Quayctl runs an operator's command against a router,
 // and returns its exit status and what it printed.
 func (f *Fleet) Quayctl(router int, args ...string) (status int, output string) {
-	all := append([]string{"--box", f.Routers[router].OperatorAddress}, args...)
-	command := exec.Command(filepath.Join(f.Bin, "quayctl"), all...)
+	fullArgs := append([]string{"--box", f.Routers[router].OperatorAddress}, args...)
+	command := exec.Command(filepath.Join(f.Bin, "quayctl"), fullArgs...)
 	text, err := command.CombinedOutput()
 	if command.ProcessState == nil {
 		return -1, err.Error()
@@ -83,7 +83,7 @@
 
 // TreeFile is the settings tree that the fleet was started with.
 func (f *Fleet) TreeFile() string {
-	return filepath.Join(f.Dir, treeName)
+	return filepath.Join(f.Dir, treeFileName)
 }
 
 // PlatformCounts reads how often the platform was called.
--- a/cmd/quaybench/fleet/process.go
+++ b/cmd/quaybench/fleet/process.go
@@ -46,13 +46,13 @@
 }
 
 // Printed is the end of what the process has printed.
-func (p *Process) Printed() string {
-	const most = 2000
+func (p *Process) LogTail() string {
+	const maxBytes = 2000
 	text, err := os.ReadFile(p.LogFile)
 	if err != nil {
 		return err.Error()
 	}
-	return string(text[max(0, len(text)-most):])
+	return string(text[max(0, len(text)-maxBytes):])
 }
 
 // Signal sends a signal to the process.
@@ -71,7 +71,7 @@
 }
 
 // Terminated ends the process at once, as Kill does, in the form of a step.
-func (p *Process) Terminated() error {
+func (p *Process) KillAction() error {
 	p.Kill()
 	return nil
 }
@@ -117,15 +117,15 @@
 	if err != nil {
 		return err
 	}
-	call := &fasthttp.Request{}
-	call.Header.SetMethod(fasthttp.MethodPost)
-	call.SetRequestURI(url)
-	call.SetBody(body)
-	answer := &fasthttp.Response{}
-	if err := fasthttp.DoTimeout(call, answer, callTimeout); err != nil {
+	request := &fasthttp.Request{}
+	request.Header.SetMethod(fasthttp.MethodPost)
+	request.SetRequestURI(url)
+	request.SetBody(body)
+	response := &fasthttp.Response{}
+	if err := fasthttp.DoTimeout(request, response, callTimeout); err != nil {
 		return err
 	}
-	if status := answer.StatusCode(); status != fasthttp.StatusOK {
+	if status := response.StatusCode(); status != fasthttp.StatusOK {
 		return trace.BadParameter("status %d", status)
 	}
 	return nil
@@ -135,13 +135,13 @@
 const pollInterval = 20 * time.Millisecond
 
 // Poll looks at a condition until it holds, within startTimeout.
-func Poll(ctx context.Context, holds func() (bool, error)) error {
+func Poll(ctx context.Context, condition func() (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		ok, err := holds()
+		ok, err := condition()
 		if ok || err != nil {
 			return err
 		}
@@ -154,7 +154,7 @@
 }
 
 // awaitAccept waits until an address takes connections.
-func awaitAccept(address string) error {
+func awaitListening(address string) error {
 	return Poll(context.Background(), func() (bool, error) {
 		c, err := net.DialTimeout("tcp", address, time.Second)
 		if err != nil {
@@ -165,7 +165,7 @@
 }
 
 // raceMark is what the race detector prints first.
-const raceMark = "WARNING: DATA RACE"
+const raceWarning = "WARNING: DATA RACE"
 
 // Races lists the processes in which the race detector found something.
 func (f *Fleet) Races() (names []string, err error) {
@@ -179,7 +179,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if strings.Contains(string(text), raceMark) {
+		if strings.Contains(string(text), raceWarning) {
 			names = append(names, log)
 		}
 	}
--- a/cmd/quaybench/fleet/tree.go
+++ b/cmd/quaybench/fleet/tree.go
@@ -44,15 +44,15 @@
 
 func (f *Fleet) writeTree() (path string, err error) {
 	defer func() { err = trace.Wrap(err, "writing the settings tree") }()
-	engines, err := f.endpoints(f.Engines, f.Plan.Slots)
+	engines, err := f.endpointTrees(f.Engines, f.Plan.Slots)
 	if err != nil {
 		return "", err
 	}
-	services, err := f.endpoints(f.Services, serviceSlots)
+	services, err := f.endpointTrees(f.Services, serviceSlots)
 	if err != nil {
 		return "", err
 	}
-	rules := f.Plan.Pool
+	poolPlan := f.Plan.Pool
 	content := tree{
 		Classes:   f.Plan.Classes,
 		Customers: map[string]customerTree{},
@@ -60,11 +60,11 @@
 			ModelPool: {
 				Kind:       settings.ModelPool,
 				Models:     []string{Model},
-				Order:      rules.Order,
-				SlotPolicy: rules.SlotPolicy,
-				Slack:      rules.Slack,
-				QuickSlots: rules.QuickSlots,
-				MergeBound: rules.MergeBound,
+				Order:      poolPlan.Order,
+				SlotPolicy: poolPlan.SlotPolicy,
+				Slack:      poolPlan.Slack,
+				QuickSlots: poolPlan.QuickSlots,
+				MergeBound: poolPlan.MergeBound,
 				Endpoints:  engines,
 			},
 			PlainPool: {
@@ -92,15 +92,15 @@
 }
 
 // treeName is the file of the settings tree in the fleet's folder.
-const treeName = "fleet.toml"
+const treeFileName = "fleet.toml"
 
 // serviceSlots is the number of calls a plain service takes at once.
 const serviceSlots = 64
 
-func (f *Fleet) endpoints(processes []*Process, slots int) (map[string]endpointTree, error) {
+func (f *Fleet) endpointTrees(processes []*Process, slots int) (map[string]endpointTree, error) {
 	endpoints := map[string]endpointTree{}
 	for i, process := range processes {
-		address, err := f.through(EndpointLink(process.Name), process.Address)
+		address, err := f.proxiedAddress(EndpointLink(process.Name), process.Address)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/quaybench/load/caller.go
+++ b/cmd/quaybench/load/caller.go
@@ -18,56 +18,56 @@
 	defer func() { record.End = time.Now() }()
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	call, err := r.compose(ctx, &arrival)
+	request, err := r.newRequest(ctx, &arrival)
 	if err != nil {
-		record.Fault = err.Error()
+		record.Error = err.Error()
 		return record
 	}
-	answer, err := r.client.Do(call)
+	response, err := r.client.Do(request)
 	if err != nil {
-		record.Fault = err.Error()
+		record.Error = err.Error()
 		return record
 	}
-	defer answer.Body.Close()
-	record.Status = answer.StatusCode
-	record.Run = answer.Header.Get("Quaylead-Run")
-	echoed := answer.Header.Get("X-Request-Id")
+	defer response.Body.Close()
+	record.Status = response.StatusCode
+	record.RunStatus = response.Header.Get("Quaylead-Run")
+	echoed := response.Header.Get("X-Request-Id")
 	record.Crossed = echoed != "" && echoed != arrival.ID
 	switch {
-	case answer.StatusCode != http.StatusOK:
-		record.readRefusal(answer.Body)
+	case response.StatusCode != http.StatusOK:
+		record.readRefusal(response.Body)
 	case arrival.Source.Plain:
-		record.readPlain(answer.Body)
+		record.readPlain(response.Body)
 	default:
-		record.readStream(answer.Body)
+		record.readStream(response.Body)
 	}
 	return record
 }
 
-func (r *Runner) compose(ctx context.Context, arrival *Arrival) (*http.Request, error) {
+func (r *Runner) newRequest(ctx context.Context, arrival *Arrival) (*http.Request, error) {
 	url := r.URLs[arrival.Router]
 	source := arrival.Source
 	path, body := r.Path, fmt.Appendf(nil, "{\"Booking\":%q}", arrival.Key)
 	if !source.Plain {
-		path, body = "/v1/chat/completions", r.modelBody(arrival)
+		path, body = "/v1/chat/completions", r.encodeModelBody(arrival)
 	}
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, url+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	call.Header.Set("Authorization", "Bearer "+r.Key(source.Customer))
-	call.Header.Set("Content-Type", "application/json")
-	call.Header.Set("X-Request-Id", arrival.ID)
+	request.Header.Set("Authorization", "Bearer "+r.Key(source.Customer))
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set("X-Request-Id", arrival.ID)
 	if source.Class != "" {
-		call.Header.Set("Quaylead-Class", source.Class)
+		request.Header.Set("Quaylead-Class", source.Class)
 	}
 	if arrival.Timeout > 0 {
-		call.Header.Set("Quaylead-Timeout", arrival.Timeout.String())
+		request.Header.Set("Quaylead-Timeout", arrival.Timeout.String())
 	}
 	if arrival.Key != "" {
-		call.Header.Set("Idempotency-Key", arrival.Key)
+		request.Header.Set("Idempotency-Key", arrival.Key)
 	}
-	return call, nil
+	return request, nil
 }
 
 type modelBody struct {
@@ -88,7 +88,7 @@
 
 // modelBody writes a prompt of the wanted length. The stand-in takes the true
 // length of the answer from the metadata, which the router does not read.
-func (r *Runner) modelBody(arrival *Arrival) []byte {
+func (r *Runner) encodeModelBody(arrival *Arrival) []byte {
 	text := arrival.ID + strings.Repeat(" ask", max(0, arrival.Input-len(arrival.ID)/bytesPerToken-8))
 	body := modelBody{
 		Model:    r.Model,
@@ -131,7 +131,7 @@
 		}
 		var event streamEvent
 		if json.Unmarshal([]byte(data), &event) != nil || len(event.Choices) == 0 {
-			r.Fault = "an event that is no token: " + data
+			r.Error = "an event that is no token: " + data
 			continue
 		}
 		r.Tokens++
@@ -147,15 +147,15 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		r.Fault = err.Error()
+		r.Error = err.Error()
 		return
 	}
-	r.Clean = true
+	r.CleanEOF = true
 	r.Whole = done && r.Tokens == r.Output && !r.Crossed
 }
 
 // plainAnswer is what the stand-in of a plain service answers.
-type plainAnswer struct {
+type plainResponse struct {
 	Request string
 	Key     string
 	Runs    int
@@ -164,21 +164,21 @@
 func (r *Record) readPlain(body io.Reader) {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		r.Fault = err.Error()
+		r.Error = err.Error()
 		return
 	}
-	r.Clean = true
-	var answer plainAnswer
-	if err := json.Unmarshal(content, &answer); err != nil {
-		r.Fault = err.Error()
+	r.CleanEOF = true
+	var response plainResponse
+	if err := json.Unmarshal(content, &response); err != nil {
+		r.Error = err.Error()
 		return
 	}
-	r.Runs = answer.Runs
+	r.Runs = response.Runs
 	r.First = time.Now()
 	if r.Key == "" {
-		r.Crossed = r.Crossed || answer.Request != r.ID
+		r.Crossed = r.Crossed || response.Request != r.ID
 	} else {
-		r.Crossed = r.Crossed || answer.Key != r.Key
+		r.Crossed = r.Crossed || response.Key != r.Key
 	}
 	r.Whole = !r.Crossed
 }
@@ -192,7 +192,7 @@
 func (r *Record) readRefusal(body io.Reader) {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		r.Fault = err.Error()
+		r.Error = err.Error()
 		return
 	}
 	var refusal refusalBody
--- a/cmd/quaybench/load/load.go
+++ b/cmd/quaybench/load/load.go
@@ -88,8 +88,8 @@
 			At:     at,
 			ID:     fmt.Sprintf("%s-%d-%d", source.Customer, number, len(trace)),
 			Router: pickRouter(source, routers, random),
-			Input:  between(source.InputTokens, random),
-			Output: between(source.OutputTokens, random),
+			Input:  randomBetween(source.InputTokens, random),
+			Output: randomBetween(source.OutputTokens, random),
 			Source: source,
 		}
 		if source.Keyed {
@@ -114,7 +114,7 @@
 	return "key-" + id
 }
 
-func between(bounds [2]int, random *rand.Rand) int {
+func randomBetween(bounds [2]int, random *rand.Rand) int {
 	low := max(1, bounds[0])
 	return low + random.IntN(max(1, bounds[1]-low+1))
 }
@@ -130,14 +130,14 @@
 	// Status is that of the answer; 0 means that there was none.
 	Status int
 	// Run is the header Quaylead-Run.
-	Run string
+	RunStatus string
 	// Code is the code of a refusal.
 	Code string
 	// Tokens were received.
 	Tokens int
 	// Clean tells that the connection showed no break before the answer's end. A
 	// clean answer that is not whole was passed off as whole.
-	Clean bool
+	CleanEOF bool
 	// Whole tells that it held everything that this request asked for.
 	Whole bool
 	// Crossed tells that it held something of another request.
@@ -145,7 +145,7 @@
 	// Runs is how often a plain service says that it ran the call.
 	Runs int
 	// Fault is what went wrong at the caller's side.
-	Fault string
+	Error string
 	// Gaps are the times between tokens.
 	Gaps []time.Duration
 }
@@ -181,32 +181,32 @@
 	defer transport.CloseIdleConnections()
 	r.client.Transport = transport
 	group, ctx := errgroup.WithContext(ctx)
-	began := time.Now()
-	lastProgress := began
+	start := time.Now()
+	lastProgress := start
 	for i, arrival := range trace {
-		if err := interval.Wait(ctx, time.Until(began.Add(arrival.At))); err != nil {
+		if err := interval.Wait(ctx, time.Until(start.Add(arrival.At))); err != nil {
 			break
 		}
 		group.Go(func() error {
-			r.add(r.send(ctx, arrival))
+			r.addRecord(r.send(ctx, arrival))
 			return nil
 		})
 		if r.Progress != nil && time.Since(lastProgress) >= time.Second {
 			lastProgress = time.Now()
-			r.Progress(time.Since(began), i+1, r.ended())
+			r.Progress(time.Since(start), i+1, r.countEnded())
 		}
 	}
 	err = group.Wait()
 	return r.records, err
 }
 
-func (r *Runner) add(record Record) {
+func (r *Runner) addRecord(record Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records = append(r.records, record)
 }
 
-func (r *Runner) ended() int {
+func (r *Runner) countEnded() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.records)
--- a/cmd/quaybench/matrix/faults.go
+++ b/cmd/quaybench/matrix/faults.go
@@ -9,31 +9,31 @@
 )
 
 // All are the faults of the whole matrix.
-func All() []Fault {
+func AllFaults() []Fault {
 	faults := []Fault{
-		{Name: "endpoint refuses", Strike: eachEndpointLink(refuse), Heal: healEndpoints},
-		{Name: "endpoint killed", Strike: eachEndpoint((*fleet.Process).Terminated), Heal: eachEndpoint((*fleet.Process).Start)},
-		{Name: "endpoint paused", Strike: eachEndpoint((*fleet.Process).Pause), Heal: eachEndpoint((*fleet.Process).Continue)},
-		{Name: "router killed", Strike: firstRouter((*fleet.Process).Terminated), Heal: restartFirst},
-		{Name: "router paused", Strike: firstRouter((*fleet.Process).Pause), Heal: firstRouter((*fleet.Process).Continue)},
-		{Name: "peers cut off", Strike: cutPeers, Heal: (*fleet.Fleet).Rejoin},
-		{Name: "callers go away", CallersLeave: true},
+		{Name: "endpoint refuses", Inject: onEndpointLinks(refuse), Heal: healEndpointLinks},
+		{Name: "endpoint killed", Inject: onEndpoints((*fleet.Process).KillAction), Heal: onEndpoints((*fleet.Process).Start)},
+		{Name: "endpoint paused", Inject: onEndpoints((*fleet.Process).Pause), Heal: onEndpoints((*fleet.Process).Continue)},
+		{Name: "router killed", Inject: onFirstRouter((*fleet.Process).KillAction), Heal: restartFirstRouter},
+		{Name: "router paused", Inject: onFirstRouter((*fleet.Process).Pause), Heal: onFirstRouter((*fleet.Process).Continue)},
+		{Name: "peers cut off", Inject: partitionFirstRouter, Heal: (*fleet.Fleet).Rejoin},
+		{Name: "callers go away", CancelCallers: true},
 	}
-	faults = append(faults, toxics()...)
+	faults = append(faults, networkFaults()...)
 	return append(faults, platformFaults()...)
 }
 
 // Named are the faults with these names; no names mean all.
-func Named(names []string) []Fault {
+func FaultsNamed(names []string) []Fault {
 	if len(names) == 0 {
-		return All()
+		return AllFaults()
 	}
-	return slices.DeleteFunc(All(), func(f Fault) bool { return !slices.Contains(names, f.Name) })
+	return slices.DeleteFunc(AllFaults(), func(f Fault) bool { return !slices.Contains(names, f.Name) })
 }
 
 // toxics are what the network does between routers and endpoints.
-func toxics() (faults []Fault) {
-	for _, one := range []struct {
+func networkFaults() (faults []Fault) {
+	for _, entry := range []struct {
 		name  string
 		toxic fault.Toxic
 	}{
@@ -44,14 +44,14 @@
 		{"answers truncated", fault.Toxic{Type: "limit_data", Attributes: map[string]int{"bytes": 300}}},
 		{"requests truncated", fault.Toxic{Type: "limit_data", Upstream: true, Attributes: map[string]int{"bytes": 100}}},
 	} {
-		faults = append(faults, Fault{Name: one.name, Strike: eachEndpointLink(inject(one.toxic)), Heal: healEndpoints})
+		faults = append(faults, Fault{Name: entry.name, Inject: onEndpointLinks(inject(entry.toxic)), Heal: healEndpointLinks})
 	}
 	return faults
 }
 
 // platformFaults are what the stores and the box list do.
 func platformFaults() (faults []Fault) {
-	for _, one := range []struct {
+	for _, entry := range []struct {
 		name   string
 		faults platform.Faults
 	}{
@@ -61,25 +61,25 @@
 		{"box list out", platform.Faults{ListOutage: true}},
 	} {
 		faults = append(faults, Fault{
-			Name:   one.name,
-			Strike: func(f *fleet.Fleet) error { return f.Platform.Control(one.faults) },
+			Name:   entry.name,
+			Inject: func(f *fleet.Fleet) error { return f.Platform.Control(entry.faults) },
 			Heal:   func(f *fleet.Fleet) error { return f.Platform.Control(platform.Faults{}) },
 		})
 	}
 	return faults
 }
 
-func refuse(f *fleet.Fleet, link string) error { return f.Grid.Refuse(link) }
+func refuse(f *fleet.Fleet, link string) error { return f.Proxies.Refuse(link) }
 
 func inject(toxic fault.Toxic) func(*fleet.Fleet, string) error {
-	return func(f *fleet.Fleet, link string) error { return f.Grid.Inject(link, toxic) }
+	return func(f *fleet.Fleet, link string) error { return f.Proxies.Inject(link, toxic) }
 }
 
 // eachEndpointLink does something to the link of every endpoint.
-func eachEndpointLink(do func(f *fleet.Fleet, link string) error) func(*fleet.Fleet) error {
+func onEndpointLinks(action func(f *fleet.Fleet, link string) error) func(*fleet.Fleet) error {
 	return func(f *fleet.Fleet) error {
 		for _, endpoint := range slices.Concat(f.Engines, f.Services) {
-			if err := do(f, fleet.EndpointLink(endpoint.Name)); err != nil {
+			if err := action(f, fleet.EndpointLink(endpoint.Name)); err != nil {
 				return err
 			}
 		}
@@ -87,14 +87,14 @@
 	}
 }
 
-func healEndpoints(f *fleet.Fleet) error {
-	return eachEndpointLink(func(f *fleet.Fleet, link string) error { return f.Grid.Heal(link) })(f)
+func healEndpointLinks(f *fleet.Fleet) error {
+	return onEndpointLinks(func(f *fleet.Fleet, link string) error { return f.Proxies.Heal(link) })(f)
 }
 
-func eachEndpoint(do func(*fleet.Process) error) func(*fleet.Fleet) error {
+func onEndpoints(action func(*fleet.Process) error) func(*fleet.Fleet) error {
 	return func(f *fleet.Fleet) error {
 		for _, endpoint := range slices.Concat(f.Engines, f.Services) {
-			if err := do(endpoint); err != nil {
+			if err := action(endpoint); err != nil {
 				return err
 			}
 		}
@@ -102,14 +102,14 @@
 	}
 }
 
-func firstRouter(do func(*fleet.Process) error) func(*fleet.Fleet) error {
-	return func(f *fleet.Fleet) error { return do(f.Routers[0].Process) }
+func onFirstRouter(action func(*fleet.Process) error) func(*fleet.Fleet) error {
+	return func(f *fleet.Fleet) error { return action(f.Routers[0].Process) }
 }
 
 // restartFirst starts the first router again, empty.
-func restartFirst(f *fleet.Fleet) error {
+func restartFirstRouter(f *fleet.Fleet) error {
 	return f.Routers[0].Start()
 }
 
 // cutPeers cuts the first router off from the others.
-func cutPeers(f *fleet.Fleet) error { return f.Partition([]int{0}) }
+func partitionFirstRouter(f *fleet.Fleet) error { return f.Partition([]int{0}) }
--- a/cmd/quaybench/matrix/matrix.go
+++ b/cmd/quaybench/matrix/matrix.go
@@ -34,10 +34,10 @@
 type Fault struct {
 	Name string
 	// Strike begins the fault, and Heal ends it.
-	Strike func(f *fleet.Fleet) error
+	Inject func(f *fleet.Fleet) error
 	Heal   func(f *fleet.Fleet) error
 	// CallersLeave makes the callers go away in place of a fault of the fleet.
-	CallersLeave bool
+	CancelCallers bool
 }
 
 // Cell is the verdict on one fault at one moment.
@@ -64,19 +64,19 @@
 
 	fleet *fleet.Fleet
 	// sent numbers requests and keys, which never repeat.
-	sent int
+	sequence int
 }
 
 const (
 	// deadline is stated to the routers with each request.
-	deadline = 3 * time.Second
+	requestTimeout = 3 * time.Second
 	// patience is how long a caller waits in all, generous for a busy machine.
-	patience = 20 * time.Second
+	callerTimeout = 20 * time.Second
 	// strikeAfter is the time from sending to a fault during the answer. It
 	// lies within the answer's length.
-	strikeAfter = 150 * time.Millisecond
+	injectDelay = 150 * time.Millisecond
 	// healAfter is how long a fault lasts: past the deadline of the requests.
-	healAfter = deadline + 500*time.Millisecond
+	healDelay = requestTimeout + 500*time.Millisecond
 )
 
 // Plan is the fleet of the matrix.
@@ -105,7 +105,7 @@
 	defer m.fleet.Stop()
 	for _, fault := range m.Faults {
 		for _, moment := range []Moment{Before, During} {
-			cell, err := m.cell(ctx, fault, moment)
+			cell, err := m.runCell(ctx, fault, moment)
 			if err != nil {
 				return cells, trace.Wrap(err, "%s, %s", fault.Name, moment)
 			}
@@ -118,37 +118,37 @@
 	return cells, nil
 }
 
-func (m *Matrix) cell(ctx context.Context, fault Fault, moment Moment) (cell Cell, err error) {
+func (m *Matrix) runCell(ctx context.Context, fault Fault, moment Moment) (cell Cell, err error) {
 	cell = Cell{Fault: fault.Name, Moment: moment}
 	if err := m.awaitServing(ctx); err != nil {
 		return cell, err
 	}
-	callers, leave := context.WithCancel(ctx)
-	defer leave()
-	strike := func() error {
-		if fault.CallersLeave {
-			leave()
+	callerCtx, cancelCallers := context.WithCancel(ctx)
+	defer cancelCallers()
+	startFault := func() error {
+		if fault.CancelCallers {
+			cancelCallers()
 			return nil
 		}
-		return fault.Strike(m.fleet)
+		return fault.Inject(m.fleet)
 	}
-	if moment == Before && !fault.CallersLeave {
-		if err := strike(); err != nil {
+	if moment == Before && !fault.CancelCallers {
+		if err := startFault(); err != nil {
 			return cell, err
 		}
 	}
-	group, records := m.send(callers)
-	struck := time.Now()
-	if moment == During || fault.CallersLeave {
-		if err := interval.Wait(ctx, strikeAfter); err != nil {
+	group, records := m.sendRequests(callerCtx)
+	sentAt := time.Now()
+	if moment == During || fault.CancelCallers {
+		if err := interval.Wait(ctx, injectDelay); err != nil {
 			return cell, err
 		}
-		if err := strike(); err != nil {
+		if err := startFault(); err != nil {
 			return cell, err
 		}
 	}
-	if !fault.CallersLeave {
-		if err := interval.Wait(ctx, healAfter-time.Since(struck)); err != nil {
+	if !fault.CancelCallers {
+		if err := interval.Wait(ctx, healDelay-time.Since(sentAt)); err != nil {
 			return cell, err
 		}
 		if err := fault.Heal(m.fleet); err != nil {
@@ -158,27 +158,27 @@
 	if err := group.Wait(); err != nil {
 		return cell, err
 	}
-	return cell, m.judge(ctx, &cell, records, fault)
+	return cell, m.evaluate(ctx, &cell, records, fault)
 }
 
 // send makes calls of every kind through every router: streams, and keyed
 // bookings of which each key goes through two routers at once.
-func (m *Matrix) send(ctx context.Context) (*errgroup.Group, []load.Record) {
-	caller := m.fleet.Caller(patience)
+func (m *Matrix) sendRequests(ctx context.Context) (*errgroup.Group, []load.Record) {
+	caller := m.fleet.Caller(callerTimeout)
 	model := &load.Source{Customer: "ward"}
 	booking := &load.Source{Customer: "ward", Plain: true, Keyed: true}
 	var arrivals []load.Arrival
 	for router := range m.fleet.Routers {
-		m.sent++
-		key := fmt.Sprintf("key-%d", m.sent)
+		m.sequence++
+		key := fmt.Sprintf("key-%d", m.sequence)
 		for _, arrival := range []load.Arrival{
 			{Source: model, Input: 20, Output: 40},
 			{Source: booking, Key: key},
 			{Source: booking, Key: key, Router: 1},
 		} {
 			arrival.Router = (arrival.Router + router) % len(m.fleet.Routers)
-			arrival.ID = fmt.Sprintf("request-%d-%d", m.sent, len(arrivals))
-			arrival.Timeout = deadline
+			arrival.ID = fmt.Sprintf("request-%d-%d", m.sequence, len(arrivals))
+			arrival.Timeout = requestTimeout
 			arrivals = append(arrivals, arrival)
 		}
 	}
@@ -195,7 +195,7 @@
 
 // judge holds the cell's records against the ground truth, and waits for all
 // work to have ended.
-func (m *Matrix) judge(ctx context.Context, cell *Cell, records []load.Record, fault Fault) error {
+func (m *Matrix) evaluate(ctx context.Context, cell *Cell, records []load.Record, fault Fault) error {
 	if err := m.awaitIdle(ctx); err != nil {
 		cell.Failures = append(cell.Failures, "work left over: "+err.Error())
 	}
@@ -216,7 +216,7 @@
 		{"false not-run", result.FalseNotRun},
 		{"cut answers passed as whole", result.CutAnswers},
 		{"crossed answers", result.CrossedAnswers},
-		{"requests without an answer in time", late(records, fault)},
+		{"requests without an answer in time", countTimeouts(records, fault)},
 	} {
 		if count.value > 0 {
 			cell.Failures = append(cell.Failures, fmt.Sprintf("%d %s", count.value, count.name))
@@ -226,9 +226,9 @@
 }
 
 // late counts requests that only the caller's own patience ended.
-func late(records []load.Record, fault Fault) (count int) {
+func countTimeouts(records []load.Record, fault Fault) (count int) {
 	for _, record := range records {
-		if !fault.CallersLeave && record.End.Sub(record.Sent) >= patience {
+		if !fault.CancelCallers && record.End.Sub(record.Sent) >= callerTimeout {
 			count++
 		}
 	}
@@ -238,19 +238,19 @@
 // awaitServing waits until every router gets whole answers of both kinds, so
 // that a cell meets its own fault and not what the one before it left.
 func (m *Matrix) awaitServing(ctx context.Context) error {
-	caller := m.fleet.Caller(patience)
+	caller := m.fleet.Caller(callerTimeout)
 	sources := []*load.Source{{Customer: "ward"}, {Customer: "ward", Plain: true}}
 	err := fleet.Poll(ctx, func() (bool, error) {
 		for router := range m.fleet.Routers {
 			for _, source := range sources {
-				m.sent++
+				m.sequence++
 				record := caller.Call(ctx, load.Arrival{
-					ID:      fmt.Sprintf("probe-%d", m.sent),
+					ID:      fmt.Sprintf("probe-%d", m.sequence),
 					Input:   1,
 					Output:  1,
 					Router:  router,
 					Source:  source,
-					Timeout: deadline,
+					Timeout: requestTimeout,
 				})
 				if !record.Whole {
 					return false, nil
--- a/cmd/quaybench/matrix/matrix_test.go
+++ b/cmd/quaybench/matrix/matrix_test.go
@@ -14,7 +14,7 @@
 	Convey("Every cell of the reduced matrix passes", t, func() {
 		bin, err := filepath.Abs("../../../bin/test")
 		So(err, ShouldBeNil)
-		faults := matrix.Named([]string{"answers truncated", "router killed", "store answers lost", "requests stalled"})
+		faults := matrix.FaultsNamed([]string{"answers truncated", "router killed", "store answers lost", "requests stalled"})
 		So(len(faults), ShouldEqual, 4)
 		m := &matrix.Matrix{Bin: bin, Dir: t.TempDir(), Faults: faults}
 		cells, err := m.Run(t.Context())
--- a/cmd/quaybench/measure/measure.go
+++ b/cmd/quaybench/measure/measure.go
@@ -106,13 +106,13 @@
 }
 
 // StarvedAfter is the wait without any service that counts as starving.
-const StarvedAfter = 10 * time.Second
+const StarvationThreshold = 10 * time.Second
 
 // grid is the step at which service curves are compared.
-const grid = 50 * time.Millisecond
+const stepInterval = 50 * time.Millisecond
 
 // Zero tells whether every count that must be zero is.
-func (r *Result) Zero() bool {
+func (r *Result) Passed() bool {
 	count := r.DoubleRuns + r.FalseNotRun + r.CutAnswers + r.CrossedAnswers + r.StarvedCustomers
 	if r.Settings != nil {
 		count += r.Settings.LostAcceptances + r.Settings.DoubleAcceptances + r.Settings.Reverts
@@ -121,7 +121,7 @@
 }
 
 // run is one request's time at an engine, from the ground truth.
-type run struct {
+type engineRun struct {
 	started, first, end time.Time
 	input, output       int
 }
@@ -135,39 +135,39 @@
 		Service:       map[string]float64{},
 	}
 	runs := collectRuns(in.Truth, in.Until)
-	countAnswers(&result, &in, runs)
-	countRuns(&result, &in)
-	latencies(&result, &in)
+	countResponses(&result, &in, runs)
+	countDoubleRuns(&result, &in)
+	computeLatencies(&result, &in)
 	curves := newCurves(&in, runs)
-	curves.fairness(&result)
-	curves.utilisation(&result)
-	curves.starved(&result)
-	curves.throughput(&result, runs)
-	result.FairnessBound = bound(&in)
+	curves.computeFairness(&result)
+	curves.computeUtilisation(&result)
+	curves.countStarved(&result)
+	curves.computeThroughput(&result, runs)
+	result.FairnessBound = fairnessBound(&in)
 	return result
 }
 
 // collectRuns gathers every run of every request.
-func collectRuns(events []truth.Event, until time.Time) map[string][]run {
-	runs := map[string][]run{}
+func collectRuns(events []truth.Event, until time.Time) map[string][]engineRun {
+	runs := map[string][]engineRun{}
 	for _, event := range events {
-		all := runs[event.Request]
+		requestRuns := runs[event.Request]
 		switch event.Kind {
 		case truth.Started:
-			runs[event.Request] = append(all, run{started: event.At, end: until, input: event.Input})
+			runs[event.Request] = append(requestRuns, engineRun{started: event.At, end: until, input: event.Input})
 		case truth.First:
-			all[len(all)-1].first = event.At
+			requestRuns[len(requestRuns)-1].first = event.At
 		case truth.Finished, truth.Cancelled:
-			if len(all) > 0 {
-				all[len(all)-1].end = event.At
-				all[len(all)-1].output = event.Output
+			if len(requestRuns) > 0 {
+				requestRuns[len(requestRuns)-1].end = event.At
+				requestRuns[len(requestRuns)-1].output = event.Output
 			}
 		}
 	}
 	return runs
 }
 
-func countAnswers(result *Result, in *Input, runs map[string][]run) {
+func countResponses(result *Result, in *Input, runs map[string][]engineRun) {
 	for _, record := range in.Records {
 		result.Requests++
 		switch {
@@ -175,7 +175,7 @@
 			result.CrossedAnswers++
 		case record.Whole:
 			result.Whole++
-		case record.Status == 200 && record.Clean:
+		case record.Status == 200 && record.CleanEOF:
 			result.CutAnswers++
 		case record.Status == 0 || record.Status == 200:
 			result.VisiblyCut++
@@ -183,14 +183,14 @@
 		if record.Code != "" {
 			result.Refusals[record.Code]++
 		}
-		if record.Run == "not-run" && len(runs[record.ID]) > 0 {
+		if record.RunStatus == "not-run" && len(runs[record.ID]) > 0 {
 			result.FalseNotRun++
 		}
 	}
 }
 
 // countRuns counts calls with a key that were run more than once.
-func countRuns(result *Result, in *Input) {
+func countDoubleRuns(result *Result, in *Input) {
 	byKey := map[string]int{}
 	for _, event := range in.Truth {
 		if event.Kind == truth.Started && event.Key != "" {
@@ -202,7 +202,7 @@
 	}
 }
 
-func latencies(result *Result, in *Input) {
+func computeLatencies(result *Result, in *Input) {
 	first := map[string][]time.Duration{}
 	between := map[string][]time.Duration{}
 	for _, record := range in.Records {
@@ -241,21 +241,21 @@
 
 // bound is that of a single queue: twice the larger of the longest prompt and
 // a whole batch of answers.
-func bound(in *Input) float64 {
-	longest, largest := 0, 0
+func fairnessBound(in *Input) float64 {
+	maxInput, maxOutput := 0, 0
 	for _, record := range in.Records {
 		if record.Source.Plain {
 			continue
 		}
-		longest = max(longest, record.Input)
-		largest = max(largest, record.Output)
+		maxInput = max(maxInput, record.Input)
+		maxOutput = max(maxOutput, record.Output)
 	}
-	batch := float64(in.Slots * largest)
-	return 2 * math.Max(in.InputWeight*float64(longest), in.OutputWeight*batch)
+	batch := float64(in.Slots * maxOutput)
+	return 2 * math.Max(in.InputWeight*float64(maxInput), in.OutputWeight*batch)
 }
 
 // curves are service and waiting of each customer over time, on the grid.
-type curves struct {
+type serviceCurves struct {
 	in        *Input
 	customers []string
 	// service is weighted tokens up to each step.
@@ -267,12 +267,12 @@
 	steps int
 }
 
-func newCurves(in *Input, runs map[string][]run) *curves {
-	c := &curves{
+func newCurves(in *Input, runs map[string][]engineRun) *serviceCurves {
+	c := &serviceCurves{
 		in:      in,
 		service: map[string][]float64{},
 		waiting: map[string][]int{},
-		steps:   int(in.Until.Sub(in.From)/grid) + 1,
+		steps:   int(in.Until.Sub(in.From)/stepInterval) + 1,
 	}
 	c.busy = make([]float64, c.steps)
 	for customer := range in.Shares {
@@ -283,7 +283,7 @@
 	sort.Strings(c.customers)
 	for _, record := range in.Records {
 		if !record.Source.Plain {
-			c.add(&record, runs[record.ID])
+			c.addRequest(&record, runs[record.ID])
 		}
 	}
 	for _, customer := range c.customers {
@@ -293,42 +293,42 @@
 }
 
 // add puts one request into the curves: service as increments for each step.
-func (c *curves) add(record *load.Record, runs []run) {
+func (c *serviceCurves) addRequest(record *load.Record, runs []engineRun) {
 	customer := record.Source.Customer
 	waitsUntil := record.End
 	for _, r := range runs {
 		if r.started.Before(waitsUntil) {
 			waitsUntil = r.started
 		}
-		c.eachStep(r.started, r.end, func(step int, part float64) { c.busy[step] += part })
+		c.forEachStep(r.started, r.end, func(step int, fraction float64) { c.busy[step] += fraction })
 		if r.first.IsZero() {
 			continue
 		}
-		c.increment(customer, r.first, c.in.InputWeight*float64(r.input))
+		c.addService(customer, r.first, c.in.InputWeight*float64(r.input))
 		total := c.in.OutputWeight * float64(r.output)
 		length := float64(r.end.Sub(r.first))
-		c.eachStep(r.first, r.end, func(step int, part float64) {
-			c.service[customer][step] += total * part * float64(grid) / length
+		c.forEachStep(r.first, r.end, func(step int, fraction float64) {
+			c.service[customer][step] += total * fraction * float64(stepInterval) / length
 		})
 	}
-	c.eachStep(record.Sent, waitsUntil, func(step int, part float64) {
-		if part == 1 {
+	c.forEachStep(record.Sent, waitsUntil, func(step int, fraction float64) {
+		if fraction == 1 {
 			c.waiting[customer][step]++
 		}
 	})
 }
 
-func (c *curves) increment(customer string, at time.Time, service float64) {
-	step := int(at.Sub(c.in.From) / grid)
+func (c *serviceCurves) addService(customer string, at time.Time, service float64) {
+	step := int(at.Sub(c.in.From) / stepInterval)
 	if step >= 0 && step < c.steps {
 		c.service[customer][step] += service
 	}
 }
 
 // eachStep visits the steps of a time with the part of each that it covers.
-func (c *curves) eachStep(from, until time.Time, visit func(step int, part float64)) {
-	begin := float64(from.Sub(c.in.From)) / float64(grid)
-	end := float64(until.Sub(c.in.From)) / float64(grid)
+func (c *serviceCurves) forEachStep(from, until time.Time, visit func(step int, part float64)) {
+	begin := float64(from.Sub(c.in.From)) / float64(stepInterval)
+	end := float64(until.Sub(c.in.From)) / float64(stepInterval)
 	for step := max(0, int(begin)); step < c.steps && float64(step) < end; step++ {
 		low := math.Max(begin, float64(step))
 		high := math.Min(end, float64(step+1))
@@ -345,7 +345,7 @@
 }
 
 // fairness finds the largest gap over all pairs.
-func (c *curves) fairness(result *Result) {
+func (c *serviceCurves) computeFairness(result *Result) {
 	for _, customer := range c.customers {
 		result.Service[customer] = c.service[customer][c.steps-1]
 	}
@@ -361,7 +361,7 @@
 
 // pairGap is the widest range of the difference of two curves within any
 // interval in which both customers waited throughout.
-func (c *curves) pairGap(a, b string) (gap float64) {
+func (c *serviceCurves) pairGap(a, b string) (gap float64) {
 	low, high := math.Inf(1), math.Inf(-1)
 	for step := range c.steps {
 		if c.waiting[a][step] == 0 || c.waiting[b][step] == 0 {
@@ -377,10 +377,10 @@
 }
 
 // utilisation counts busy slot-time while anything waits.
-func (c *curves) utilisation(result *Result) {
+func (c *serviceCurves) computeUtilisation(result *Result) {
 	used, available := 0.0, 0.0
 	for step := range c.steps {
-		if !c.anyWaiting(step) {
+		if !c.isAnyWaiting(step) {
 			continue
 		}
 		used += math.Min(c.busy[step], float64(c.in.Slots))
@@ -389,10 +389,10 @@
 	if available > 0 {
 		result.Utilisation = used / available
 	}
-	result.WaitingSeconds = available / float64(c.in.Slots) * grid.Seconds()
+	result.WaitingSeconds = available / float64(c.in.Slots) * stepInterval.Seconds()
 }
 
-func (c *curves) anyWaiting(step int) bool {
+func (c *serviceCurves) isAnyWaiting(step int) bool {
 	for _, customer := range c.customers {
 		if c.waiting[customer][step] > 0 {
 			return true
@@ -402,10 +402,10 @@
 }
 
 // throughput is the output of all engines over the time that is judged.
-func (c *curves) throughput(result *Result, runs map[string][]run) {
+func (c *serviceCurves) computeThroughput(result *Result, runs map[string][]engineRun) {
 	tokens := 0
-	for _, all := range runs {
-		for _, r := range all {
+	for _, requestRuns := range runs {
+		for _, r := range requestRuns {
 			tokens += r.output
 		}
 	}
@@ -413,8 +413,8 @@
 }
 
 // starved counts customers that waited long without any service.
-func (c *curves) starved(result *Result) {
-	limit := int(StarvedAfter / grid)
+func (c *serviceCurves) countStarved(result *Result) {
+	limit := int(StarvationThreshold / stepInterval)
 	for _, customer := range c.customers {
 		since := 0
 		for step := 1; step < c.steps; step++ {
--- a/cmd/quaybench/measure/plot.go
+++ b/cmd/quaybench/measure/plot.go
@@ -35,12 +35,12 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-func (c *curves) draw(p *plot.Plot, customer string, tint color.Color) error {
+func (c *serviceCurves) draw(p *plot.Plot, customer string, lineColor color.Color) error {
 	all := make(plotter.XYs, 0, c.steps)
 	var backlogged plotter.XYs
 	for step := range c.steps {
 		point := plotter.XY{
-			X: float64(step) * grid.Seconds(),
+			X: float64(step) * stepInterval.Seconds(),
 			Y: c.service[customer][step] / c.in.Shares[customer],
 		}
 		all = append(all, point)
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	line.Color = tint
+	line.Color = lineColor
 	p.Add(line)
 	p.Legend.Add(customer, line)
 	if len(backlogged) == 0 {
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	points.Color = tint
+	points.Color = lineColor
 	points.Radius = vg.Points(1)
 	p.Add(points)
 	return nil
--- a/cmd/quaybench/measure/print.go
+++ b/cmd/quaybench/measure/print.go
@@ -19,7 +19,7 @@
 	row("Utilisation", "%.3f over %.1f s with work waiting", r.Utilisation, r.WaitingSeconds)
 	row("ControlBytesPerSecond", "%.0f for each box", r.ControlBytesPerSecond)
 	row("Overhead", "p50 %.3f ms, p99 %.3f ms", r.OverheadP50, r.OverheadP99)
-	for _, class := range sortedNames(r.FirstToken) {
+	for _, class := range sortedKeys(r.FirstToken) {
 		first, between := r.FirstToken[class], r.BetweenTokens[class]
 		row("FirstToken "+class, "p50 %.1f ms, p95 %.1f ms, p99 %.1f ms of %d", first.P50, first.P95, first.P99, first.Count)
 		if between.Count > 0 {
@@ -27,10 +27,10 @@
 		}
 	}
 	row("Requests", "%d, %d answered whole, %d visibly cut", r.Requests, r.Whole, r.VisiblyCut)
-	for _, code := range sortedNames(r.Refusals) {
+	for _, code := range sortedKeys(r.Refusals) {
 		row("Refusals "+code, "%d", r.Refusals[code])
 	}
-	for _, customer := range sortedNames(r.Service) {
+	for _, customer := range sortedKeys(r.Service) {
 		row("Service "+customer, "%.0f weighted tokens", r.Service[customer])
 	}
 	row("DoubleRuns", "%d", r.DoubleRuns)
@@ -48,7 +48,7 @@
 	return table.Flush()
 }
 
-func sortedNames[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
--- a/cmd/quaybench/soak/world.go
+++ b/cmd/quaybench/soak/world.go
@@ -25,7 +25,7 @@
 	soak  *Soak
 	truth *standin.Truth
 	store *standin.Store
-	grid  *fault.Grid
+	grid  *fault.ProxySet
 	boxes []*box
 	group errgroup.Group
 
@@ -78,7 +78,7 @@
 
 func newWorld(s *Soak) (w *world, err error) {
 	defer func() { err = trace.Wrap(err, "setting up the fleet") }()
-	w = &world{soak: s, truth: &standin.Truth{}, grid: fault.NewGrid(), acceptedAt: map[int]time.Time{}}
+	w = &world{soak: s, truth: &standin.Truth{}, grid: fault.NewProxySet(), acceptedAt: map[int]time.Time{}}
 	w.store, err = standin.NewStore("127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -284,7 +284,7 @@
 	for _, b := range w.boxes {
 		err := fleet.Poll(ctx, func() (bool, error) { return b.isReady(), nil })
 		if err != nil {
-			return trace.Wrap(err, "waiting for %s:\n%s", b.Name, b.Printed())
+			return trace.Wrap(err, "waiting for %s:\n%s", b.Name, b.LogTail())
 		}
 	}
 	return nil
