--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -23,7 +23,7 @@
 const Table = "claims"
 
 // inlineBytes is the largest body of an outcome kept in the row itself.
-const inlineBytes = 16 << 10
+const maxInlineBytes = 16 << 10
 
 // Key names what is claimed.
 type Key struct {
@@ -35,7 +35,7 @@
 
 // row is the key's place in the table. Hashing keeps callers' keys, which may
 // be long or hold secrets, out of paths and logs.
-func (k Key) row() string {
+func (k Key) rowKey() string {
 	digest := sha256.New()
 	for _, part := range []string{k.Customer, k.Pool, k.Value} {
 		digest.Write([]byte(part))
@@ -119,12 +119,12 @@
 
 	mu sync.Mutex
 	// unfinished are claims whose release or outcome is still to be written.
-	unfinished []unfinished
+	pending []pendingWrite
 }
 
 // unfinished is a write that the store has not confirmed yet. Nothing depends
 // on it but that a repeat of the key gets a better answer than "unknown".
-type unfinished struct {
+type pendingWrite struct {
 	claim   *Claim
 	outcome *Outcome
 	until   time.Time
@@ -132,13 +132,13 @@
 
 const (
 	// retryPause lies between two tries at the store within one call.
-	retryPause = 50 * time.Millisecond
+	retryDelay = 50 * time.Millisecond
 	// finishInterval lies between two rounds over the unfinished claims.
 	finishInterval = time.Second
 	// finishFor is how long an unfinished claim is tried.
-	finishFor = 10 * time.Minute
+	finishTimeout = 10 * time.Minute
 	// maxUnfinished bounds the unfinished claims held in memory.
-	maxUnfinished = 10000
+	maxPending = 10000
 )
 
 // Take claims a key for a request. An error means that the store could not
@@ -154,10 +154,10 @@
 	uncertain := false
 	for {
 		result, err = r.tryTake(claim, &uncertain)
-		if err == nil || !unavailable(err) {
+		if err == nil || !isUnavailable(err) {
 			return result, err
 		}
-		if interval.Wait(ctx, retryPause) != nil {
+		if interval.Wait(ctx, retryDelay) != nil {
 			if uncertain {
 				r.postpone(claim, nil)
 			}
@@ -172,25 +172,25 @@
 	if err != nil {
 		return nil, err
 	}
-	claim.version, err = r.Store.Put(Table, claim.key.row(), value, platform.Absent{})
+	claim.version, err = r.Store.Put(Table, claim.key.rowKey(), value, platform.Absent{})
 	if err == nil {
 		return Taken{Claim: claim}, nil
 	}
-	if unavailable(err) {
+	if isUnavailable(err) {
 		*uncertain = true
 	}
-	row, readErr := r.Store.Get(Table, claim.key.row())
+	row, readErr := r.Store.Get(Table, claim.key.rowKey())
 	if readErr != nil {
-		if _, absent := trace.Unwrap(readErr).(*platform.NotFoundError); absent && unavailable(err) {
+		if _, absent := trace.Unwrap(readErr).(*platform.NotFoundError); absent && isUnavailable(err) {
 			return nil, err
 		}
 		return nil, asUnavailable(readErr)
 	}
-	return r.judge(claim, row)
+	return r.resolve(claim, row)
 }
 
 // judge decides by the row what the claim's attempt may do.
-func (r *Registry) judge(claim *Claim, row platform.Row) (Result, error) {
+func (r *Registry) resolve(claim *Claim, row platform.Row) (Result, error) {
 	var found record
 	if err := json.Unmarshal(row.Value, &found); err != nil {
 		return nil, err
@@ -224,8 +224,8 @@
 }
 
 func (r *Registry) writeOutcome(claim *Claim, outcome Outcome) error {
-	if len(outcome.Body) > inlineBytes {
-		object := "outcome-" + claim.key.row() + "-" + claim.record.Nonce
+	if len(outcome.Body) > maxInlineBytes {
+		object := "outcome-" + claim.key.rowKey() + "-" + claim.record.Nonce
 		if err := r.Store.PutObject(object, outcome.Body); err != nil {
 			return err
 		}
@@ -238,14 +238,14 @@
 	if err != nil {
 		return err
 	}
-	_, err = r.Store.Put(Table, claim.key.row(), value, platform.Current{Version: claim.version})
+	_, err = r.Store.Put(Table, claim.key.rowKey(), value, platform.Current{Version: claim.version})
 	return err
 }
 
 // Release gives a claim back after a call that provably did not run, so that a
 // repeat may run. The claim must not be used after.
 func (r *Registry) Release(claim *Claim) {
-	if err := r.Store.Delete(Table, claim.key.row(), claim.version); unavailable(err) {
+	if err := r.Store.Delete(Table, claim.key.rowKey(), claim.version); isUnavailable(err) {
 		r.postpone(claim, nil)
 	}
 }
@@ -253,13 +253,13 @@
 func (r *Registry) postpone(claim *Claim, outcome *Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.unfinished) >= maxUnfinished {
+	if len(r.pending) >= maxPending {
 		return
 	}
-	r.unfinished = append(r.unfinished, unfinished{
+	r.pending = append(r.pending, pendingWrite{
 		claim:   claim,
 		outcome: outcome,
-		until:   time.Now().Add(finishFor),
+		until:   time.Now().Add(finishTimeout),
 	})
 }
 
@@ -267,11 +267,11 @@
 func (r *Registry) Run(ctx context.Context) error {
 	for interval.Wait(ctx, finishInterval) == nil {
 		r.mu.Lock()
-		batch := r.unfinished
-		r.unfinished = nil
+		batch := r.pending
+		r.pending = nil
 		r.mu.Unlock()
-		for _, open := range batch {
-			r.finish(ctx, open)
+		for _, write := range batch {
+			r.finish(ctx, write)
 		}
 	}
 	return nil
@@ -279,37 +279,37 @@
 
 // finish writes an outcome or removes a claim of ours that was never used. The
 // row may not be there yet when the store is slow, so absence is no end.
-func (r *Registry) finish(ctx context.Context, open unfinished) {
-	if ctx.Err() != nil || time.Now().After(open.until) {
+func (r *Registry) finish(ctx context.Context, write pendingWrite) {
+	if ctx.Err() != nil || time.Now().After(write.until) {
 		return
 	}
-	done := r.tryFinish(open)
+	done := r.tryFinish(write)
 	if done {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unfinished = append(r.unfinished, open)
+	r.pending = append(r.pending, write)
 }
 
-func (r *Registry) tryFinish(open unfinished) (done bool) {
-	row, err := r.Store.Get(Table, open.claim.key.row())
+func (r *Registry) tryFinish(write pendingWrite) (done bool) {
+	row, err := r.Store.Get(Table, write.claim.key.rowKey())
 	if err != nil {
 		return false
 	}
 	var found record
-	if json.Unmarshal(row.Value, &found) != nil || found.Nonce != open.claim.record.Nonce {
+	if json.Unmarshal(row.Value, &found) != nil || found.Nonce != write.claim.record.Nonce {
 		return true
 	}
-	open.claim.version = row.Version
-	if open.outcome != nil {
-		return found.Outcome != nil || r.writeOutcome(open.claim, *open.outcome) == nil
+	write.claim.version = row.Version
+	if write.outcome != nil {
+		return found.Outcome != nil || r.writeOutcome(write.claim, *write.outcome) == nil
 	}
-	return !unavailable(r.Store.Delete(Table, open.claim.key.row(), row.Version))
+	return !isUnavailable(r.Store.Delete(Table, write.claim.key.rowKey(), row.Version))
 }
 
 // unavailable tells that the store's answer is missing, not contrary.
-func unavailable(err error) bool {
+func isUnavailable(err error) bool {
 	var missing *platform.UnavailableError
 	return errors.As(err, &missing)
 }
@@ -317,7 +317,7 @@
 // asUnavailable makes a failed read count as the store not answering: a row
 // that was in the way a moment ago and is gone now has to be tried again.
 func asUnavailable(err error) error {
-	if unavailable(err) {
+	if isUnavailable(err) {
 		return err
 	}
 	return &platform.UnavailableError{Path: Table, Err: err}
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -20,23 +20,23 @@
 	rows    map[string]platform.Row
 	objects map[string][]byte
 	version int
-	plan    []fate
+	plan    []callResult
 }
 
 // fate is what becomes of one call.
-type fate int
+type callResult int
 
 const (
-	works fate = iota
-	lostBefore
-	lostAfter
+	succeeds callResult = iota
+	lostRequest
+	lostResponse
 )
 
 var errLost = &platform.UnavailableError{Err: errors.New("lost")}
 
-func (s *fakeStore) next() fate {
+func (s *fakeStore) nextResult() callResult {
 	if len(s.plan) == 0 {
-		return works
+		return succeeds
 	}
 	first := s.plan[0]
 	s.plan = s.plan[1:]
@@ -44,10 +44,10 @@
 }
 
 func (s *fakeStore) call(effect func() error) error {
-	switch s.next() {
-	case lostBefore:
+	switch s.nextResult() {
+	case lostRequest:
 		return errLost
-	case lostAfter:
+	case lostResponse:
 		// The effect takes place and its answer is lost.
 		_ = effect()
 		return errLost
@@ -107,7 +107,7 @@
 	return value, err
 }
 
-func newStore(plan ...fate) *fakeStore {
+func newStore(plan ...callResult) *fakeStore {
 	return &fakeStore{rows: map[string]platform.Row{}, objects: map[string][]byte{}, plan: plan}
 }
 
@@ -132,14 +132,14 @@
 )
 
 // world is two routers before one store, and how often the call was sent.
-type world struct {
+type scenario struct {
 	store *fakeStore
 	a, b  *claim.Registry
 	heldA *claim.Claim
 	runs  int
 }
 
-func (w *world) do(s step) {
+func (w *scenario) do(s step) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	switch s {
@@ -183,15 +183,15 @@
 	explored := 0
 	synctest.Test(t, func(t *testing.T) {
 		for order := range 1 << (2 * depth) {
-			for fates := range 81 {
-				w := &world{store: newStore(planOf(fates)...)}
+			for results := range 81 {
+				w := &scenario{store: newStore(planOf(results)...)}
 				w.a, w.b = registry(w.store, "a"), registry(w.store, "b")
 				for i := range depth {
 					w.do(step(order >> (2 * i) & 3))
 				}
 				explored++
 				if w.runs > 1 {
-					t.Fatalf("order %x with fates %d ran the call %d times", order, fates, w.runs)
+					t.Fatalf("order %x with fates %d ran the call %d times", order, results, w.runs)
 				}
 			}
 		}
@@ -201,9 +201,9 @@
 	}
 }
 
-func planOf(number int) (plan []fate) {
+func planOf(number int) (plan []callResult) {
 	for range 4 {
-		plan = append(plan, fate(number%3))
+		plan = append(plan, callResult(number%3))
 		number /= 3
 	}
 	return plan
@@ -232,7 +232,7 @@
 	})
 	Convey("An outcome that the store did not take is written later", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			store := newStore(works, lostBefore)
+			store := newStore(succeeds, lostRequest)
 			r := registry(store, "a")
 			result, err := r.Take(t.Context(), key, "digest")
 			if err != nil {
--- a/pkg/dispatch/endpoints.go
+++ b/pkg/dispatch/endpoints.go
@@ -19,7 +19,7 @@
 	for _, endpoint := range endpoints {
 		e := p.engines[endpoint.ID]
 		switch {
-		case e == nil || endpoint.Renews(&e.Endpoint):
+		case e == nil || endpoint.IsNewerInstanceThan(&e.Endpoint):
 			e = newEngine(endpoint, p.service.Engine.CacheTokens)
 			changed = true
 			if !initial {
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -165,7 +165,7 @@
 	}
 	p.service = service
 	p.tokensPerSecond = tokensPerSecond
-	p.coldBound = service.Cold.Bound(p.Rules.ColdFactor, p.Rules.ColdExtra)
+	p.coldBound = service.ColdStart.Bound(p.Rules.ColdFactor, p.Rules.ColdExtra)
 }
 
 // Endpoints returns the engines, by ID.
--- a/pkg/dispatch/request.go
+++ b/pkg/dispatch/request.go
@@ -97,7 +97,7 @@
 	// Zones are the availability zones that it may go to; none means any.
 	Zones []string
 	// Releases are the software versions of the endpoints that it may go to.
-	Releases rollout.Side
+	Releases rollout.VersionFilter
 	// Fingerprint identifies repeats of the same request; zero means unknown.
 	Fingerprint quarantine.Fingerprint
 
--- a/pkg/endpoint/answer.go
+++ b/pkg/endpoint/checked_response.go
@@ -21,7 +21,7 @@
 
 // Answer is an endpoint's answer whose head was read. Its body is read by Read
 // or Whole; Close has to follow in every case.
-type Answer struct {
+type CheckedResponse struct {
 	// Response holds status and headers; its body is not to be used directly.
 	Response fasthttp.Response
 
@@ -29,89 +29,89 @@
 	conn   *conn
 	check  Check
 	// read counts the bytes of the body that were read.
-	read int
+	bytesRead int
 	// whole is set once the body was read to the end that its framing promised.
-	whole  bool
-	closed bool
+	complete bool
+	closed   bool
 }
 
 // chunkedLength is how the library marks a chunked body.
 const chunkedLength = -1
 
 // Length is the promised length of the body, or -1 when it is chunked.
-func (a *Answer) Length() int {
-	if a.Response.BodyStream() == nil {
+func (r *CheckedResponse) Length() int {
+	if r.Response.BodyStream() == nil {
 		return 0
 	}
-	return max(-1, a.Response.Header.ContentLength())
+	return max(-1, r.Response.Header.ContentLength())
 }
 
 // Empty tells that there is no body to read.
-func (a *Answer) Empty() bool {
-	return a.Length() == 0
+func (r *CheckedResponse) IsEmpty() bool {
+	return r.Length() == 0
 }
 
 // Read reads a piece of the body as soon as there is one. It returns io.EOF
 // only at the end that the framing promised; a body that ends before gives
 // io.ErrUnexpectedEOF.
-func (a *Answer) Read(p []byte) (n int, err error) {
-	stream := a.Response.BodyStream()
+func (r *CheckedResponse) Read(p []byte) (n int, err error) {
+	stream := r.Response.BodyStream()
 	if stream == nil {
-		a.whole = true
+		r.complete = true
 		return 0, io.EOF
 	}
-	if a.conn.reader.Buffered() == 0 && a.unread() {
-		if err := a.await(true); err != nil {
+	if r.conn.reader.Buffered() == 0 && r.hasMore() {
+		if err := r.waitReadable(true); err != nil {
 			return 0, err
 		}
 	}
 	n, err = stream.Read(p)
-	a.read += n
-	if err == io.EOF && !a.framed() {
+	r.bytesRead += n
+	if err == io.EOF && !r.isComplete() {
 		return n, io.ErrUnexpectedEOF
 	}
-	a.whole = err == io.EOF
+	r.complete = err == io.EOF
 	return n, err
 }
 
 // unread tells whether more of the body has to come from the connection. A
 // body whose length is known ends without another byte.
-func (a *Answer) unread() bool {
-	return !a.whole && a.Response.Header.ContentLength() != a.read
+func (r *CheckedResponse) hasMore() bool {
+	return !r.complete && r.Response.Header.ContentLength() != r.bytesRead
 }
 
 // framed tells whether the body came to the end that it promised. A body that
 // runs until the connection closes promises none, so it never does.
-func (a *Answer) framed() bool {
-	length := a.Response.Header.ContentLength()
-	return length == chunkedLength || length == a.read
+func (r *CheckedResponse) isComplete() bool {
+	length := r.Response.Header.ContentLength()
+	return length == chunkedLength || length == r.bytesRead
 }
 
 // await waits for the next byte of the endpoint, asking the check meanwhile. In
 // the middle of an answer the silence is bounded.
-func (a *Answer) await(bounded bool) error {
+func (r *CheckedResponse) waitReadable(bounded bool) error {
 	began := time.Now()
 	for {
-		if err := a.conn.SetReadDeadline(time.Now().Add(checkInterval)); err != nil {
+		if err := r.conn.SetReadDeadline(time.Now().Add(checkInterval)); err != nil {
 			return err
 		}
-		_, err := a.conn.reader.Peek(1)
+		_, err := r.conn.reader.Peek(1)
 		if err == nil {
-			return a.conn.SetReadDeadline(time.Now().Add(a.client.StallTimeout))
+			return r.conn.SetReadDeadline(time.Now().Add(r.client.StallTimeout))
 		}
 		if !isTimeout(err) {
-			return unexpected(err)
+			return asUnexpectedEOF(err)
 		}
-		if err := a.check(); err != nil {
+		if err := r.check(); err != nil {
 			return err
 		}
-		if silence := time.Since(began); bounded && silence > a.client.StallTimeout {
-			return &StalledError{Address: a.client.Address, Silence: silence}
+		if silence := time.Since(began); bounded && silence > r.client.StallTimeout {
+			return &StalledError{Address: r.client.Address, Silence: silence}
 		}
 	}
 }
 
-func unexpected(err error) error {
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -119,27 +119,27 @@
 }
 
 // Whole reads the rest of the body into memory, up to a limit.
-func (a *Answer) Whole(limit int) (body []byte, err error) {
+func (r *CheckedResponse) ReadAll(limit int) (body []byte, err error) {
 	defer func() { err = trace.Wrap(err, "reading the answer") }()
-	if length := a.Length(); length > 0 {
+	if length := r.Length(); length > 0 {
 		body = make([]byte, 0, min(length, limit)+1)
 	}
-	body, err = readAll(a, body, limit)
+	body, err = readAll(r, body, limit)
 	return body, err
 }
 
-func readAll(from io.Reader, into []byte, limit int) ([]byte, error) {
+func readAll(reader io.Reader, buf []byte, limit int) ([]byte, error) {
 	for {
-		if len(into) == cap(into) {
-			into = append(into, 0)[:len(into)]
+		if len(buf) == cap(buf) {
+			buf = append(buf, 0)[:len(buf)]
 		}
-		n, err := from.Read(into[len(into):cap(into)])
-		into = into[:len(into)+n]
-		if len(into) > limit {
+		n, err := reader.Read(buf[len(buf):cap(buf)])
+		buf = buf[:len(buf)+n]
+		if len(buf) > limit {
 			return nil, &TooLargeError{Limit: limit}
 		}
 		if err == io.EOF {
-			return into, nil
+			return buf, nil
 		}
 		if err != nil {
 			return nil, err
@@ -149,20 +149,20 @@
 
 // Close lets the connection go: back to the idle ones if the answer was read
 // to its end, closed otherwise, which also cancels work at the endpoint.
-func (a *Answer) Close() error {
-	if a.closed {
+func (r *CheckedResponse) Close() error {
+	if r.closed {
 		return nil
 	}
-	a.closed = true
-	if !a.whole && a.Response.BodyStream() != nil {
-		return a.conn.Close()
+	r.closed = true
+	if !r.complete && r.Response.BodyStream() != nil {
+		return r.conn.Close()
 	}
-	if a.Response.ConnectionClose() || a.conn.reader.Buffered() > 0 {
-		return a.conn.Close()
+	if r.Response.ConnectionClose() || r.conn.reader.Buffered() > 0 {
+		return r.conn.Close()
 	}
-	if err := a.conn.SetDeadline(time.Time{}); err != nil {
-		return a.conn.Close()
+	if err := r.conn.SetDeadline(time.Time{}); err != nil {
+		return r.conn.Close()
 	}
-	a.client.give(a.conn)
+	r.client.release(r.conn)
 	return nil
 }
--- a/pkg/endpoint/conn.go
+++ b/pkg/endpoint/conn.go
@@ -28,7 +28,7 @@
 // silence is how long a connection may be without a sign of life from the endpoint's
 // machine. Callers of streams give up after 2 to 3.2 s without an event, so that an
 // answer that comes later is of no use, and a cut that heals sooner ends none.
-const silence = 4 * time.Second
+const silenceTimeout = 4 * time.Second
 
 // maxIdleConns bounds the idle connections kept for one address.
 const maxIdleConns = 64
@@ -96,7 +96,7 @@
 }
 
 func (c *Client) dialContext(ctx context.Context) (*conn, error) {
-	dialer := keepalive.Dialer(c.ConnectTimeout, silence)
+	dialer := keepalive.Dialer(c.ConnectTimeout, silenceTimeout)
 	raw, err := dialer.DialContext(ctx, "tcp", c.Address)
 	if err != nil {
 		return nil, &DialError{Address: c.Address, Err: err}
@@ -109,9 +109,9 @@
 }
 
 // take returns an idle connection that is still open, or a new one.
-func (c *Client) take(fresh bool) (*conn, error) {
-	for !fresh {
-		idle := c.pop()
+func (c *Client) acquire(forceNew bool) (*conn, error) {
+	for !forceNew {
+		idle := c.popIdle()
 		if idle == nil {
 			break
 		}
@@ -123,7 +123,7 @@
 	return c.dial()
 }
 
-func (c *Client) pop() *conn {
+func (c *Client) popIdle() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.usedAt = time.Now()
@@ -136,7 +136,7 @@
 }
 
 // give keeps a connection whose answer was read to its end.
-func (c *Client) give(open *conn) {
+func (c *Client) release(open *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	open.idleSince = time.Now()
@@ -155,7 +155,7 @@
 	defer c.mu.Unlock()
 	kept := c.idle[:0]
 	for _, idle := range c.idle {
-		if idle.fresh(false) {
+		if idle.isFresh(false) {
 			kept = append(kept, idle)
 			continue
 		}
@@ -193,8 +193,8 @@
 // Send writes the request and waits for the head of the answer. Fresh asks for
 // a connection of its own, so that a stale one can not leave the outcome open.
 // Sending is called just before the first byte may leave, sent once all has.
-func (c *Client) Send(call *fasthttp.Request, fresh bool, check Check, sending, sent func() error) (answer *Answer, err error) {
-	open, err := c.take(fresh)
+func (c *Client) Send(call *fasthttp.Request, forceNew bool, check Check, sending, sent func() error) (response *CheckedResponse, err error) {
+	open, err := c.acquire(forceNew)
 	if err != nil {
 		return nil, err
 	}
@@ -213,16 +213,16 @@
 	if err := sent(); err != nil {
 		return nil, err
 	}
-	answer = &Answer{client: c, conn: open, check: check}
-	answer.Response.StreamBody = true
-	answer.Response.SkipBody = call.Header.IsHead()
-	if err := answer.await(false); err != nil {
+	response = &CheckedResponse{client: c, conn: open, check: check}
+	response.Response.StreamBody = true
+	response.Response.SkipBody = call.Header.IsHead()
+	if err := response.waitReadable(false); err != nil {
 		return nil, err
 	}
-	if err := answer.Response.ReadLimitBody(open.reader, 0); err != nil {
+	if err := response.Response.ReadLimitBody(open.reader, 0); err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (c *conn) write(call *fasthttp.Request, timeout time.Duration) error {
--- a/pkg/endpoint/engine.go
+++ b/pkg/endpoint/engine.go
@@ -53,19 +53,19 @@
 	if call.members == nil {
 		return nil, trace.BadParameter("the body is no JSON object")
 	}
-	if err := call.member("model", &call.Model); err != nil {
+	if err := call.decodeMember("model", &call.Model); err != nil {
 		return nil, err
 	}
-	if err := call.member("stream", &call.Stream); err != nil {
+	if err := call.decodeMember("stream", &call.Stream); err != nil {
 		return nil, err
 	}
 	var options streamOptions
-	if err := call.member("stream_options", &options); err != nil {
+	if err := call.decodeMember("stream_options", &options); err != nil {
 		return nil, err
 	}
 	call.WantsUsage = options.IncludeUsage
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
-		if err := call.member(name, &call.MaxTokens); err != nil {
+		if err := call.decodeMember(name, &call.MaxTokens); err != nil {
 			return nil, err
 		}
 	}
@@ -76,7 +76,7 @@
 	return call, nil
 }
 
-func (c *ModelCall) member(name string, into any) error {
+func (c *ModelCall) decodeMember(name string, into any) error {
 	raw, ok := c.members[name]
 	if !ok {
 		return nil
@@ -122,7 +122,7 @@
 }
 
 // WholeUsage reads the usage of an answer that came in one piece.
-func WholeUsage(body []byte) (usage Usage, known bool) {
+func ParseUsage(body []byte) (usage Usage, known bool) {
 	var answer struct {
 		Usage *Usage `json:"usage"`
 	}
@@ -134,13 +134,13 @@
 
 // usageMark is how an event that carries usage is told from the many that do
 // not, without decoding each.
-var usageMark = []byte(`"usage":`)
+var usageKey = []byte(`"usage":`)
 
 func hasUsage(event []byte) bool {
-	at := bytes.Index(event, usageMark)
+	at := bytes.Index(event, usageKey)
 	if at < 0 {
 		return false
 	}
-	rest := bytes.TrimLeft(event[at+len(usageMark):], " ")
+	rest := bytes.TrimLeft(event[at+len(usageKey):], " ")
 	return len(rest) > 0 && rest[0] == '{'
 }
--- a/pkg/endpoint/open_linux.go
+++ b/pkg/endpoint/open_linux.go
@@ -14,17 +14,17 @@
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	holder, ok := c.(syscall.Conn)
+	sysConn, ok := c.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := holder.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	open := true
 	err = raw.Control(func(fd uintptr) {
-		open = peek(int(fd))
+		open = isOpenFD(int(fd))
 	})
 	return open && err == nil
 }
@@ -32,11 +32,11 @@
 // IsQuiet tells whether a connection is open and nothing is left to read on it.
 // On a connection without a request, anything to read is a surplus.
 func IsQuiet(c net.Conn) bool {
-	holder, ok := c.(syscall.Conn)
+	sysConn, ok := c.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := holder.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -53,11 +53,11 @@
 // sent something. It reads nothing. A read deadline in the past ends the wait.
 // It reports whether the connection was closed.
 func AwaitClose(c net.Conn) (closed bool) {
-	holder, ok := c.(syscall.Conn)
+	sysConn, ok := c.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := holder.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -74,13 +74,13 @@
 	return closed
 }
 
-func peek(fd int) bool {
+func isOpenFD(fd int) bool {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	if err == syscall.EAGAIN || err == syscall.EINTR {
 		return true
 	}
-	return err == nil && n > 0 && !closing(fd)
+	return err == nil && n > 0 && !isClosing(fd)
 }
 
 // closeWait is the state of a connection whose other side has closed it.
@@ -88,7 +88,7 @@
 
 // closing tells whether the other side has closed although something is left to
 // read, such as the last word of TLS.
-func closing(fd int) bool {
+func isClosing(fd int) bool {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	return err == nil && info.State == closeWait
 }
--- a/pkg/endpoint/reply_test.go
+++ b/pkg/endpoint/response_test.go
@@ -69,7 +69,7 @@
 	return &Call{
 		Request: request,
 		Sending: func() error { return nil },
-		Belongs: func(head *fasthttp.ResponseHeader) bool {
+		Matches: func(head *fasthttp.ResponseHeader) bool {
 			id := string(head.Peek("X-Id"))
 			return id == "" || id == "mine"
 		},
@@ -121,19 +121,19 @@
 				}
 			})
 			defer s.close()
-			reply, err := s.client().Do(context.Background(), callWith([]byte("body")))
+			response, err := s.client().Do(context.Background(), callWith([]byte("body")))
 			if a.failed {
-				var none *NoAnswerError
+				var none *NoResponseError
 				So(errors.As(err, &none), ShouldBeTrue)
 				return
 			}
 			So(err, ShouldBeNil)
-			defer reply.Close()
-			So(reply.Framed(), ShouldEqual, !a.unframed)
+			defer response.Close()
+			So(response.IsFramed(), ShouldEqual, !a.unframed)
 			if a.reset {
-				_ = reply.conn.Conn.(*net.TCPConn).CloseWrite()
+				_ = response.conn.Conn.(*net.TCPConn).CloseWrite()
 			}
-			body, err := reply.Whole(1000)
+			body, err := response.ReadAll(1000)
 			if a.cut {
 				So(err, ShouldNotBeNil)
 				So(errors.Is(err, io.EOF), ShouldBeFalse)
@@ -162,11 +162,11 @@
 		})
 		client := s.client()
 		for i := range 2 {
-			reply, err := client.Do(context.Background(), callWith(nil))
+			response, err := client.Do(context.Background(), callWith(nil))
 			So(err, ShouldBeNil)
-			_, err = reply.Whole(1000)
+			_, err = response.ReadAll(1000)
 			So(err, ShouldBeNil)
-			reply.Close()
+			response.Close()
 			if i == 0 {
 				between(client)
 			}
@@ -213,18 +213,18 @@
 		written := make(chan struct{})
 		call := callWith(make([]byte, 32<<20))
 		call.Written = func() { close(written) }
-		reply, err := s.client().Do(context.Background(), call)
+		response, err := s.client().Do(context.Background(), call)
 		So(err, ShouldBeNil)
-		So(reply.Head.StatusCode(), ShouldEqual, 413)
-		_, err = reply.Whole(1000)
+		So(response.Head.StatusCode(), ShouldEqual, 413)
+		_, err = response.ReadAll(1000)
 		So(err, ShouldBeNil)
-		reply.Close()
+		response.Close()
 		select {
 		case <-written:
 		default:
 			t.Error("the request was still read after Close")
 		}
-		So(reply.client.idle, ShouldBeEmpty)
+		So(response.client.idle, ShouldBeEmpty)
 	})
 	Convey("When a call is given up, its request is no longer read and what was sent is its beginning", t, func() {
 		const size = 32 << 20
--- a/pkg/endpoint/silence_test.go
+++ b/pkg/endpoint/silence_test.go
@@ -45,28 +45,28 @@
 		defer listener.Close()
 		client := &Client{Address: listener.Addr().String(), ConnectTimeout: time.Second}
 		defer client.Close()
-		call := func(patience time.Duration) error {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+		call := func(timeout time.Duration) error {
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			request := &fasthttp.Request{}
 			request.SetRequestURI("http://e/p")
 			request.Header.SetMethod(fasthttp.MethodPost)
 			request.SetBodyString("x")
-			reply, err := client.Do(ctx, &Call{Request: request, Sending: func() error { return nil }})
+			response, err := client.Do(ctx, &Call{Request: request, Sending: func() error { return nil }})
 			if err != nil {
 				return err
 			}
-			defer reply.Close()
-			_, err = reply.Whole(100)
+			defer response.Close()
+			_, err = response.ReadAll(100)
 			return err
 		}
 		var kept []*conn
 		for range 3 {
 			So(call(20*time.Second), ShouldBeNil)
-			kept = append(kept, client.pop())
+			kept = append(kept, client.popIdle())
 		}
 		for _, one := range kept {
-			client.give(one)
+			client.release(one)
 		}
 		So(call(100*time.Millisecond), ShouldNotBeNil)
 		So(client.idle, ShouldBeEmpty)
--- a/pkg/endpoint/stream.go
+++ b/pkg/endpoint/stream.go
@@ -21,8 +21,8 @@
 	Count func(tokens int)
 
 	// Usage is the cost the engine stated, and Known whether it did.
-	Usage Usage
-	Known bool
+	Usage      Usage
+	UsageKnown bool
 
 	// buffer holds what was read: buffer[:ready] may be passed on, the rest is
 	// the beginning of an event.
@@ -35,7 +35,7 @@
 var (
 	eventEnd   = []byte("\n\n")
 	dataPrefix = []byte("data:")
-	endMark    = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 )
 
 // Prime waits until there is a first event to pass on. An error before that
@@ -72,9 +72,9 @@
 		s.err = &TooLargeError{Limit: maxEventBytes}
 		return
 	}
-	const least = 4096
-	if cap(s.buffer)-len(s.buffer) < least {
-		grown := make([]byte, len(s.buffer), 2*cap(s.buffer)+least)
+	const minSpace = 4096
+	if cap(s.buffer)-len(s.buffer) < minSpace {
+		grown := make([]byte, len(s.buffer), 2*cap(s.buffer)+minSpace)
 		copy(grown, s.buffer)
 		s.buffer = grown
 	}
@@ -101,7 +101,7 @@
 		}
 		length += len(eventEnd)
 		event := s.buffer[s.ready : s.ready+length]
-		keep, isToken := s.look(event)
+		keep, isToken := s.handleEvent(event)
 		if isToken {
 			tokens++
 		}
@@ -114,25 +114,25 @@
 	}
 }
 
-func (s *EventStream) look(event []byte) (keep, isToken bool) {
+func (s *EventStream) handleEvent(event []byte) (keep, isToken bool) {
 	data, found := bytes.CutPrefix(event, dataPrefix)
 	if !found {
 		return true, false
 	}
 	data = bytes.TrimSpace(data)
-	if bytes.Equal(data, endMark) {
+	if bytes.Equal(data, doneMarker) {
 		s.done = true
 		return true, false
 	}
 	if !hasUsage(data) {
 		return true, true
 	}
-	return s.lookUsage(data)
+	return s.handleUsage(data)
 }
 
 // lookUsage reads an event with usage. Engines send it alone, without choices,
 // or with the last token.
-func (s *EventStream) lookUsage(data []byte) (keep, isToken bool) {
+func (s *EventStream) handleUsage(data []byte) (keep, isToken bool) {
 	var last struct {
 		Usage   *Usage            `json:"usage"`
 		Choices []json.RawMessage `json:"choices"`
@@ -141,7 +141,7 @@
 		return true, true
 	}
 	s.Usage = *last.Usage
-	s.Known = true
+	s.UsageKnown = true
 	if len(last.Choices) > 0 {
 		return true, true
 	}
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -35,7 +35,7 @@
 
 // attempt sends the request to an endpoint and waits for the head of the answer. Its errors go
 // to handleFailure, which decides how to continue.
-func (c *call) attempt(to destination, lastEvent string) (*endpoint.Reply, error) {
+func (c *call) attempt(to destination, lastEvent string) (*endpoint.Response, error) {
 	if c.life.State() < request.Queued {
 		// A received request can always be queued.
 		_ = c.life.Advance(request.Queued)
@@ -43,8 +43,8 @@
 	out := c.buildRequest(to.Endpoint, lastEvent)
 	ctx := c.guardContext(to)
 	reply, err := c.gateway.client(to.Address).Do(ctx, &endpoint.Call{
-		Request: out,
-		Sure:    !c.route.Repeatable,
+		Request:       out,
+		NonRepeatable: !c.route.Repeatable,
 		Sending: func() error {
 			c.gateway.checkSuspension()
 			if c.gateway.suspensions.isOutdated(to.suspendedTotal) || !c.gateway.admits(&to.Endpoint) {
@@ -56,7 +56,7 @@
 			c.reserved = reservation{}
 			return c.life.Advance(request.Sending)
 		},
-		Belongs: func(head *fasthttp.ResponseHeader) bool {
+		Matches: func(head *fasthttp.ResponseHeader) bool {
 			id := c.gateway.Translator.ParseResponse(head).ID
 			return id == "" || id == c.ID
 		},
@@ -68,7 +68,7 @@
 	answered := c.gateway.Translator.ParseResponse(&reply.Head)
 	c.handleSelfReport(to, answered)
 	if answered.NotRun {
-		c.life.Prove()
+		c.life.ProveNotRun()
 		status := reply.Head.StatusCode()
 		c.drop(reply)
 		return nil, &declinedError{status: status}
@@ -81,8 +81,8 @@
 }
 
 // drop reads the rest of a short answer, so that its connection can be reused.
-func (c *call) drop(reply *endpoint.Reply) {
-	if _, err := reply.Whole(maxHeadBytes); err != nil {
+func (c *call) drop(reply *endpoint.Response) {
+	if _, err := reply.ReadAll(maxHeadBytes); err != nil {
 		c.log().Debug("answer of an endpoint that declined was truncated", zap.String("Request", c.ID), zap.Error(err))
 	}
 	reply.Close()
@@ -141,7 +141,7 @@
 		zap.String("Endpoint", to.ID),
 		zap.String("Address", to.Address),
 		zap.Int("Attempts", c.life.Attempts()),
-		zap.String("Run", string(c.life.Run())),
+		zap.String("Run", string(c.life.RunStatus())),
 		zap.Duration("Age", time.Since(c.arrived)),
 		zap.Bool("Again", retry),
 		zap.Error(err))
@@ -151,16 +151,16 @@
 	if retry {
 		return nil
 	}
-	if refusal := c.refuseQuarantined(); refusal != nil && c.life.Run() == request.NotRun {
+	if refusal := c.refuseQuarantined(); refusal != nil && c.life.RunStatus() == request.NotRun {
 		return refusal
 	}
-	if c.life.Run() == request.NotRun {
+	if c.life.RunStatus() == request.NotRun {
 		return notRun(request.NoEndpoint, "no endpoint took the request", failureRetryDelay())
 	}
 	return &request.Refusal{
 		Code:    request.EndpointFailed,
 		Message: "the endpoint gave no whole answer",
-		Run:     c.life.Run(),
+		Run:     c.life.RunStatus(),
 	}
 }
 
@@ -209,7 +209,7 @@
 	c.reserved = reserved
 	if c.life.State() >= request.Sending {
 		// Only requests that may be repeated, or that provably did not run, get here.
-		_ = c.life.Return(c.route.Repeatable)
+		_ = c.life.Requeue(c.route.Repeatable)
 	}
 	return true
 }
@@ -237,10 +237,10 @@
 	cause := context.Cause(c.ctx)
 	switch {
 	case errors.Is(cause, errCallerGone):
-		return &request.Refusal{Code: request.CallerGone, Message: cause.Error(), Run: c.life.Run()}
-	case c.life.Run() == request.NotRun:
+		return &request.Refusal{Code: request.CallerGone, Message: cause.Error(), Run: c.life.RunStatus()}
+	case c.life.RunStatus() == request.NotRun:
 		return notRun(request.NotInTime, cause.Error(), failureRetryDelay())
 	default:
-		return &request.Refusal{Code: request.DeadlinePassed, Message: cause.Error(), Run: c.life.Run()}
+		return &request.Refusal{Code: request.DeadlinePassed, Message: cause.Error(), Run: c.life.RunStatus()}
 	}
 }
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -47,7 +47,7 @@
 	end         quarantine.End
 	// zones are the availability zones in which the request may be served; empty means any.
 	zones []string
-	life  request.Life
+	life  request.Lifecycle
 
 	// ctx ends with the deadline, or when the caller disconnects.
 	ctx    context.Context
@@ -85,13 +85,13 @@
 // withEarlierAttempts replaces a refusal that promises that nothing was run, if an earlier
 // attempt may have run.
 func (c *call) withEarlierAttempts(refusal *request.Refusal) *request.Refusal {
-	if refusal.Run != request.NotRun || c.life.Run() == request.NotRun {
+	if refusal.Run != request.NotRun || c.life.RunStatus() == request.NotRun {
 		return refusal
 	}
 	return &request.Refusal{
 		Code:    request.EndpointFailed,
 		Message: "an earlier attempt may have run; " + refusal.Message,
-		Run:     c.life.Run(),
+		Run:     c.life.RunStatus(),
 	}
 }
 
@@ -162,10 +162,10 @@
 	if c.route == nil {
 		return notRun(request.NoSuchPath, "there is no such route", 0)
 	}
-	homes := [][]string{c.route.Homes}
+	homes := [][]string{c.route.AllowedRegions}
 	if customer := catalog.CustomerOf(c.Key); customer != nil {
 		c.customer = customer.Name
-		homes = append(homes, customer.Homes)
+		homes = append(homes, customer.AllowedRegions)
 	} else if !c.route.Anonymous && len(catalog.Customers) > 0 {
 		return notRun(request.InvalidKey, "the key is not known", 0)
 	}
@@ -203,7 +203,7 @@
 		wait = maxRequestTimeout
 	}
 	c.deadline, c.deadlineCause = c.arrived.Add(wait), cause
-	c.suspendedTotal = c.gateway.suspensions.Noticed()
+	c.suspendedTotal = c.gateway.suspensions.Detected()
 	ctx, cancel := context.WithCancelCause(c.gateway.workContext)
 	var stopTimer context.CancelFunc
 	c.ctx, stopTimer = context.WithDeadlineCause(ctx, c.deadline, cause)
@@ -223,7 +223,7 @@
 
 // remaining is the time in which an answer is still of use.
 func (c *call) remaining() time.Duration {
-	return time.Until(c.deadline) - (c.gateway.suspensions.Noticed() - c.suspendedTotal)
+	return time.Until(c.deadline) - (c.gateway.suspensions.Detected() - c.suspendedTotal)
 }
 
 // endAfter ends the request after a time, if it is still in progress.
@@ -272,7 +272,7 @@
 }
 
 // forwardHead starts the caller's answer with the endpoint's status and headers.
-func (c *call) forwardHead(reply *endpoint.Reply) {
+func (c *call) forwardHead(reply *endpoint.Response) {
 	response := &c.http.Response
 	reply.Head.CopyTo(&response.Header)
 	response.Header.DisableNormalizing()
@@ -297,11 +297,11 @@
 
 // forwardWhole forwards an answer that is read whole before any of it is sent, so that a
 // truncated one can still be reported as failed.
-func (c *call) forwardWhole(reply *endpoint.Reply) error {
-	body, err := reply.Whole(maxAnswerBytes)
+func (c *call) forwardWhole(reply *endpoint.Response) error {
+	body, err := reply.ReadAll(maxAnswerBytes)
 	if err != nil {
 		reply.Close()
-		return &endpoint.NoAnswerError{Address: c.route.Name, Err: err}
+		return &endpoint.NoResponseError{Address: c.route.Name, Err: err}
 	}
 	reply.Close()
 	c.forwardHead(reply)
--- a/pkg/gateway/cold.go
+++ b/pkg/gateway/cold.go
@@ -127,10 +127,10 @@
 	}
 	var endpoints []string
 	for name, service := range catalog.Services {
-		if service.Engine != nil || service.Cold.PerSecond <= 0 {
+		if service.Engine != nil || service.ColdStart.MaxPerSecond <= 0 {
 			continue
 		}
-		for _, endpoint := range g.registry.Directory().Of(name) {
+		for _, endpoint := range g.registry.Directory().EndpointsOf(name) {
 			endpoints = append(endpoints, endpoint.ID)
 		}
 	}
--- a/pkg/gateway/endpoints.go
+++ b/pkg/gateway/endpoints.go
@@ -48,7 +48,7 @@
 // updatePlain updates the health of a plain service's endpoints that changed, or of all if the
 // configuration changed.
 func (g *Gateway) updatePlain(service route.Service, directory *route.Directory, changes []route.Change, configChanged bool) {
-	bound := service.Cold.Bound(g.Settings.ColdFactor, g.Settings.ColdExtra)
+	bound := service.ColdStart.Bound(g.Settings.ColdFactor, g.Settings.ColdExtra)
 	now := time.Now()
 	first := g.health.isEmpty()
 	if configChanged {
--- a/pkg/gateway/guard.go
+++ b/pkg/gateway/guard.go
@@ -61,11 +61,11 @@
 	if c.route.Streaming {
 		return firstEventMargin + to.granted.wait + to.granted.readTime
 	}
-	return max(plainStallFactor*c.route.Aim, minPlainStallTimeout)
+	return max(plainStallFactor*c.route.LatencyTarget, minPlainStallTimeout)
 }
 
 func (c *call) pauseStallTimeout() time.Duration {
-	return max(pauseStallFactor*c.route.PauseAim, minPauseStallTimeout)
+	return max(pauseStallFactor*c.route.GapTarget, minPauseStallTimeout)
 }
 
 // extend restarts the timeout, as the endpoint has sent something.
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -60,7 +60,7 @@
 		Deadline:      now.Add(time.Duration(message.Remaining) * time.Microsecond),
 		Excluded:      message.Excluded,
 		Zones:         message.Zones,
-		Releases:      rollout.Side{Version: message.Release, Others: message.OtherReleases},
+		Releases:      rollout.VersionFilter{Version: message.Release, Others: message.OtherReleases},
 		BoxHash:       message.Box,
 
 		OtherGroupUsage: dispatch.OtherGroupUsage{Requested: float64(message.AskedElsewhere), Granted: float64(message.GrantedElsewhere)},
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -112,7 +112,7 @@
 	traffic := &g.exchange.Traffic
 	interval.Every(ctx, countsInterval, func() {
 		log.Info("counts",
-			zap.Duration("Suspended", g.suspensions.Noticed()),
+			zap.Duration("Suspended", g.suspensions.Detected()),
 			zap.Int("Alive", g.fleet.CountLive()+1),
 			zap.Stringer("Known", g.registry.Knowledge().Known),
 			zap.Int64("PeerBytesSent", traffic.Sent.Load()),
--- a/pkg/gateway/model.go
+++ b/pkg/gateway/model.go
@@ -53,7 +53,7 @@
 		return to, notRun(request.NoEndpoint, "the service has no engine now", failureRetryDelay())
 	}
 	for unusable := 0; ; unusable++ {
-		suspended := c.gateway.suspensions.Noticed()
+		suspended := c.gateway.suspensions.Detected()
 		req := c.dispatchRequest()
 		s := p.groupFor(req)
 		v, err := s.acquire(c.ctx, req, unusable >= maxUnusableGrants)
@@ -123,7 +123,7 @@
 
 // dispatchRequest describes the request for the dispatcher.
 func (c *call) dispatchRequest() *dispatch.Request {
-	latencyTarget := c.route.Aim
+	latencyTarget := c.route.LatencyTarget
 	if latencyTarget <= 0 {
 		latencyTarget = defaultLatencyTarget
 	}
@@ -178,7 +178,7 @@
 var eventStreamType = []byte("text/event-stream")
 
 // answerModel forwards the answer of an engine: a stream event by event, anything else whole.
-func (c *call) answerModel(to destination, reply *endpoint.Reply) error {
+func (c *call) answerModel(to destination, reply *endpoint.Response) error {
 	status := reply.Head.StatusCode()
 	if status == fasthttp.StatusOK && bytes.HasPrefix(reply.Head.ContentType(), eventStreamType) {
 		return c.answerStream(to, reply)
@@ -200,7 +200,7 @@
 }
 
 // answerStream gives the stream to the HTTP server, which reads it event by event.
-func (c *call) answerStream(to destination, reply *endpoint.Reply) error {
+func (c *call) answerStream(to destination, reply *endpoint.Response) error {
 	s := &stream{
 		call:      c,
 		to:        to,
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/plain.go
@@ -50,7 +50,7 @@
 
 // canRetryElsewhere reports whether the answer is an error that another endpoint may not return
 // and the request may be repeated.
-func (c *call) canRetryElsewhere(reply *endpoint.Reply) bool {
+func (c *call) canRetryElsewhere(reply *endpoint.Response) bool {
 	return reply.Head.StatusCode() >= fasthttp.StatusInternalServerError && c.route.Repeatable &&
 		c.life.Attempts() < c.route.MaxAttempts && c.ctx.Err() == nil && c.gateway.budget.canTake(c.service.Name)
 }
@@ -69,11 +69,11 @@
 // choosePlain selects an endpoint for a request to a plain service. The caller settles the
 // attempt through the returned destination.
 func (c *call) choosePlain() (to destination, refusal *request.Refusal) {
-	endpoints := c.gateway.registry.Directory().Of(c.service.Name)
+	endpoints := c.gateway.registry.Directory().EndpointsOf(c.service.Name)
 	if len(c.zones) > 0 {
 		endpoints = slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !slices.Contains(c.zones, e.Zone) })
 	}
-	if side := c.gateway.rollouts.pickSide(c.service.Name); side != (rollout.Side{}) {
+	if side := c.gateway.rollouts.pickSide(c.service.Name); side != (rollout.VersionFilter{}) {
 		endpoints = slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !side.Admits(e.Release) })
 	}
 	endpoints = c.exposableEndpoints(endpoints)
@@ -93,7 +93,7 @@
 		finish:      func(how outcome) { settle(how, 0) },
 		finishTimed: settle,
 
-		suspendedTotal: c.gateway.suspensions.Noticed(),
+		suspendedTotal: c.gateway.suspensions.Detected(),
 	}, nil
 }
 
--- a/pkg/gateway/pool.go
+++ b/pkg/gateway/pool.go
@@ -133,7 +133,7 @@
 
 // members returns the engines of a group. The caller holds the lock.
 func (p *pool) members(group int) (members []route.Endpoint) {
-	p.directory.EachOfGroup(p.name, group, len(p.groups), func(e *route.Endpoint) bool {
+	p.directory.EachInGroup(p.name, group, len(p.groups), func(e *route.Endpoint) bool {
 		members = append(members, *e)
 		return true
 	})
--- a/pkg/gateway/promptcache.go
+++ b/pkg/gateway/promptcache.go
@@ -126,7 +126,7 @@
 	if status := reply.Head.StatusCode(); status != fasthttp.StatusOK {
 		return kept, trace.BadParameter("status %d", status)
 	}
-	body, err := reply.Whole(maxAnswerBytes)
+	body, err := reply.ReadAll(maxAnswerBytes)
 	if err != nil {
 		return kept, err
 	}
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -49,8 +49,8 @@
 
 // clearFingerprint records that the request was answered completely, so that it is not the
 // cause of the ends.
-func (c *call) clearFingerprint(reply *endpoint.Reply) {
-	if !reply.Framed() {
+func (c *call) clearFingerprint(reply *endpoint.Response) {
+	if !reply.IsFramed() {
 		return
 	}
 	if c.gateway.ledger.Clear(c.fingerprint, c.service.Name, time.Now()) {
@@ -74,7 +74,7 @@
 	now := time.Now()
 	instance := quarantine.InstanceOf(to.Service, to.ID, to.Born)
 	c.end = c.gateway.ledger.RecordEnd(c.fingerprint, instance, now)
-	c.gateway.unconfirmed.add(instance, to.Endpoint, c.gateway.registry.Knowledge().Looks, now)
+	c.gateway.unconfirmed.add(instance, to.Endpoint, c.gateway.registry.Knowledge().Polls, now)
 	c.gateway.publishEnds()
 	c.log().Info("endpoint ended under a request",
 		zap.String("Request", c.ID),
@@ -102,7 +102,7 @@
 	case isConnectionLost(err):
 		return true
 	case errors.Is(err, errStalled) || errors.Is(err, syscall.ETIMEDOUT):
-		return !listed || current.Renews(&chosen)
+		return !listed || current.IsNewerInstanceThan(&chosen)
 	}
 	return false
 }
@@ -160,7 +160,7 @@
 		found, listed := directory.Find(end.endpoint.ID)
 		age := now.Sub(end.at)
 		switch {
-		case !listed || found.Renews(&end.endpoint) || age > unconfirmedEndTTL:
+		case !listed || found.IsNewerInstanceThan(&end.endpoint) || age > unconfirmedEndTTL:
 			delete(u.byInstance, instance)
 		case age < retractDelay:
 			end.polls = polls
@@ -179,7 +179,7 @@
 	if directory == nil {
 		return
 	}
-	for _, instance := range g.unconfirmed.resolve(directory, g.registry.Knowledge().Looks, now) {
+	for _, instance := range g.unconfirmed.resolve(directory, g.registry.Knowledge().Polls, now) {
 		if count := g.ledger.Retract(instance, now); count > 0 {
 			g.log.Info("endpoint lives, answers only broke off", zap.Int("Requests", count))
 			g.publishEnds()
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -32,7 +32,7 @@
 func TestHasEnded(t *testing.T) {
 	leaving := engineAt(1)
 	leaving.Leaving = true
-	brokenOff := &endpoint.NoAnswerError{Address: "10.0.0.1:1", Err: io.ErrUnexpectedEOF}
+	brokenOff := &endpoint.NoResponseError{Address: "10.0.0.1:1", Err: io.ErrUnexpectedEOF}
 	for name, is := range map[string]struct {
 		chosen    route.Endpoint
 		directory *route.Directory
--- a/pkg/gateway/rollouts.go
+++ b/pkg/gateway/rollouts.go
@@ -40,8 +40,8 @@
 
 // activeRollout is the state of one order in force.
 type activeRollout struct {
-	rollout.Judge
-	answers rollout.Answers
+	rollout.Evaluator
+	answers rollout.ResponseStats
 	// targets and others are the numbers of endpoints of the target version and of other
 	// versions that admit requests.
 	targets, others int
@@ -81,7 +81,7 @@
 	defer r.mu.Unlock()
 	active := map[string]*activeRollout{}
 	if orders != nil {
-		for _, order := range orders.Moves() {
+		for _, order := range orders.ActiveRollouts() {
 			active[order.Service] = rolloutOf(order, r.active[order.Service], time.Now())
 		}
 	}
@@ -95,54 +95,54 @@
 	switch {
 	case known != nil && known.Order.Version == order.Version:
 		return known
-	case known != nil && order.Renews(known.Order):
+	case known != nil && order.IsRewriteOf(known.Order):
 		renewed := *known
 		renewed.Order.Version = order.Version
 		renewed.statusRead, renewed.checkUntil = false, now.Add(checkStatusTimeout)
 		return &renewed
 	}
-	return &activeRollout{Judge: rollout.Judge{Order: order}, tallies: map[string]rollout.Counts{}}
+	return &activeRollout{Evaluator: rollout.Evaluator{Order: order}, tallies: map[string]rollout.Counts{}}
 }
 
 // isOver reports whether nothing is left to decide or to write to the store.
 func (a *activeRollout) isOver(now time.Time) bool {
 	verdict, _ := a.Verdict()
-	return verdict.Final() && now.After(a.checkUntil)
+	return verdict.IsFinal() && now.After(a.checkUntil)
 }
 
 // pickSide picks at random, by the roll-out's share, which versions a request may go to.
-func (r *rollouts) pickSide(service string) rollout.Side {
+func (r *rollouts) pickSide(service string) rollout.VersionFilter {
 	if r.activeCount.Load() == 0 {
-		return rollout.Side{}
+		return rollout.VersionFilter{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := r.active[service]
 	if a == nil {
-		return rollout.Side{}
+		return rollout.VersionFilter{}
 	}
 	return a.side(rand.Float64(), time.Now())
 }
 
 // side returns the side for a random number from [0, 1). If only one side has endpoints and
 // neither is excluded, requests go to all.
-func (a *activeRollout) side(drawn float64, now time.Time) rollout.Side {
+func (a *activeRollout) side(drawn float64, now time.Time) rollout.VersionFilter {
 	verdict, since := a.Verdict()
-	target := rollout.Side{Version: a.Order.Target}
-	others := rollout.Side{Version: a.Order.Target, Others: true}
+	target := rollout.VersionFilter{Version: a.Order.Target}
+	others := rollout.VersionFilter{Version: a.Order.Target, Others: true}
 	share := a.Order.Share(verdict, since, now)
 	if verdict == rollout.Proving {
 		share = a.share
 	}
 	switch {
 	case verdict == rollout.Completed && (a.targets == 0 || now.Sub(since) > completedTTL):
-		return rollout.Side{}
+		return rollout.VersionFilter{}
 	case verdict == rollout.Completed:
 		return target
 	case verdict >= rollout.Halted || a.targets == 0:
 		return others
 	case a.others == 0:
-		return rollout.Side{}
+		return rollout.VersionFilter{}
 	case drawn < share:
 		return target
 	}
@@ -174,12 +174,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a := r.active[endpoint.Service]; a != nil {
-		a.answers.Note(routeName, endpoint.Release == a.Order.Target, failed, took)
+		a.answers.Record(routeName, endpoint.Release == a.Order.Target, failed, took)
 	}
 }
 
 // verdicts returns the verdicts of all roll-outs, for the other boxes.
-func (r *rollouts) verdicts() (verdicts []rollout.Word) {
+func (r *rollouts) verdicts() (verdicts []rollout.VerdictReport) {
 	if r.activeCount.Load() == 0 {
 		return nil
 	}
@@ -187,14 +187,14 @@
 	defer r.mu.Unlock()
 	for service, a := range r.active {
 		verdict, _ := a.Verdict()
-		verdicts = append(verdicts, rollout.Word{Service: service, Order: a.Order.Version, Verdict: verdict})
+		verdicts = append(verdicts, rollout.VerdictReport{Service: service, Order: a.Order.Version, Verdict: verdict})
 	}
-	slices.SortFunc(verdicts, func(a, b rollout.Word) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(verdicts, func(a, b rollout.VerdictReport) int { return cmp.Compare(a.Service, b.Service) })
 	return verdicts
 }
 
 // applyVerdicts applies verdicts of other boxes. It reports whether any was new.
-func (r *rollouts) applyVerdicts(verdicts []rollout.Word, now time.Time) (changed bool) {
+func (r *rollouts) applyVerdicts(verdicts []rollout.VerdictReport, now time.Time) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, received := range verdicts {
@@ -235,7 +235,7 @@
 	if a == nil {
 		return nil
 	}
-	return peer.EncodeRolloutTally(a.Order.Version, a.answers.Counts(), g.attempts.countOtherReleases(service, a.Order.Target))
+	return peer.EncodeRolloutTally(a.Order.Version, a.answers.Tallies(), g.attempts.countOtherReleases(service, a.Order.Target))
 }
 
 // proversToAsk returns the boxes that this one asks for their counts.
@@ -281,7 +281,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, a := range r.active {
-		a.countSides(directory.Of(service))
+		a.countSides(directory.EndpointsOf(service))
 		if a.isOver(time.Now()) {
 			continue
 		}
@@ -320,12 +320,12 @@
 	r.mu.Lock()
 	before, _ := a.Verdict()
 	r.mu.Unlock()
-	if !before.Final() {
+	if !before.IsFinal() {
 		r.fetchTallies(a)
 	}
 	r.mu.Lock()
 	before, _ = a.Verdict()
-	if !before.Final() && (a.targets > 0 || before != rollout.Proving) {
+	if !before.IsFinal() && (a.targets > 0 || before != rollout.Proving) {
 		verdict := a.evaluate(time.Now(), r.gateway.attempts.countOtherReleases(a.Order.Service, a.Order.Target))
 		r.announce(a, before, verdict)
 	}
@@ -351,7 +351,7 @@
 // evaluate decides by the counts of all provers. Running is this box's number of requests that
 // still run at other versions.
 func (a *activeRollout) evaluate(now time.Time, running int) rollout.Verdict {
-	counts := rollout.Counts{Routes: a.answers.Counts(), OldRunning: running}
+	counts := rollout.Counts{Routes: a.answers.Tallies(), OldRunning: running}
 	for _, reported := range a.tallies {
 		counts.OldRunning += reported.OldRunning
 		for name, tally := range reported.Routes {
@@ -360,7 +360,7 @@
 			counts.Routes[name] = sum
 		}
 	}
-	return a.Decide(counts, now)
+	return a.Evaluate(counts, now)
 }
 
 // fetchTallies fetches the counts of the provers.
@@ -403,7 +403,7 @@
 	defer r.mu.Unlock()
 	a.status, a.statusRead = status, true
 	ofOrder := status.Version > a.Order.Version && status.Target == a.Order.Target
-	if ofOrder && status.Verdict.Final() && r.adopt(a, status.Verdict, time.Now()) {
+	if ofOrder && status.Verdict.IsFinal() && r.adopt(a, status.Verdict, time.Now()) {
 		r.gateway.exchange.SendNow()
 	}
 	return true
--- a/pkg/gateway/rollouts_test.go
+++ b/pkg/gateway/rollouts_test.go
@@ -11,9 +11,9 @@
 
 func TestRolloutSides(t *testing.T) {
 	now := time.Unix(1000, 0)
-	others, target := rollout.Side{Version: "v2", Others: true}, rollout.Side{Version: "v2"}
+	others, target := rollout.VersionFilter{Version: "v2", Others: true}, rollout.VersionFilter{Version: "v2"}
 	of := func(verdict rollout.Verdict, targets, rest int) *activeRollout {
-		a := &activeRollout{Judge: rollout.Judge{Order: rollout.Order{Service: "llm", Target: "v2", Within: 10 * time.Second}}, targets: targets, others: rest, share: 0.05}
+		a := &activeRollout{Evaluator: rollout.Evaluator{Order: rollout.Order{Service: "llm", Target: "v2", Within: 10 * time.Second}}, targets: targets, others: rest, share: 0.05}
 		a.Adopt(verdict, now)
 		return a
 	}
@@ -23,7 +23,7 @@
 		So(of(rollout.Proving, 0, 2).side(0.01, now), ShouldResemble, others)
 	})
 	Convey("Where only one side has endpoints and none is excluded, requests go to all", t, func() {
-		So(of(rollout.Proving, 2, 0).side(0.5, now), ShouldResemble, rollout.Side{})
+		So(of(rollout.Proving, 2, 0).side(0.5, now), ShouldResemble, rollout.VersionFilter{})
 	})
 	Convey("A version that is halted or rolled back gets nothing", t, func() {
 		So(of(rollout.Halted, 2, 2).side(0, now), ShouldResemble, others)
@@ -32,7 +32,7 @@
 	Convey("Other versions get nothing after a roll-out has completed, until they have ended", t, func() {
 		a := of(rollout.Completed, 2, 2)
 		So(a.side(0.99, now), ShouldResemble, target)
-		So(a.side(0.99, now.Add(completedTTL+time.Second)), ShouldResemble, rollout.Side{})
-		So(of(rollout.Completed, 0, 2).side(0.99, now), ShouldResemble, rollout.Side{})
+		So(a.side(0.99, now.Add(completedTTL+time.Second)), ShouldResemble, rollout.VersionFilter{})
+		So(of(rollout.Completed, 0, 2).side(0.99, now), ShouldResemble, rollout.VersionFilter{})
 	})
 }
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -70,7 +70,7 @@
 		entries = append(entries, entry)
 	}
 	last := version + epoch.Version(count) - 1
-	g.registry.OfferEntries(entries, route.Knowledge{Known: last, Base: 1, Looks: uint64(last)}, "box-1")
+	g.registry.OfferEntries(entries, route.Knowledge{Known: last, Base: 1, Polls: uint64(last)}, "box-1")
 }
 
 // heap returns the bytes of the heap that are in use after a garbage collection.
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -18,7 +18,7 @@
 type stream struct {
 	call  *call
 	to    destination
-	reply *endpoint.Reply
+	reply *endpoint.Response
 
 	// buffer holds what was read: buffer[:ready] can be forwarded, the rest is an incomplete
 	// event.
@@ -127,7 +127,7 @@
 // isLate reports whether the stream missed a latency target of its route.
 func (s *stream) isLate() bool {
 	r := s.call.route
-	return (r.Aim > 0 && s.firstAfter > r.Aim) || (r.PauseAim > 0 && s.maxPause > r.PauseAim)
+	return (r.LatencyTarget > 0 && s.firstAfter > r.LatencyTarget) || (r.GapTarget > 0 && s.maxPause > r.GapTarget)
 }
 
 // logSettled logs whole answers: all late ones, and a sample of the others.
--- a/pkg/gateway/suspension.go
+++ b/pkg/gateway/suspension.go
@@ -68,12 +68,12 @@
 // the given sum. A grant from before a suspension is handed back, as its engine may have been
 // granted to another request.
 func (t *suspensionTracker) isOutdated(sum time.Duration) bool {
-	return t.Noticed() != sum || t.refreshing.Load()
+	return t.Detected() != sum || t.refreshing.Load()
 }
 
 // checkSuspension is called before anything is sent, and periodically.
 func (g *Gateway) checkSuspension() {
-	length, err := g.suspensions.Look()
+	length, err := g.suspensions.Measure()
 	if err != nil {
 		g.log.Warn("suspension not known", zap.Error(err))
 		return
--- a/pkg/interval/interval.go
+++ b/pkg/interval/interval.go
@@ -9,13 +9,13 @@
 
 // Wait waits for a length of time. It returns the context's error if that ends
 // first.
-func Wait(ctx context.Context, length time.Duration) error {
-	return WaitOr(ctx, length, nil)
+func Wait(ctx context.Context, duration time.Duration) error {
+	return WaitOr(ctx, duration, nil)
 }
 
 // WaitOr waits for a length of time, or until there is a value to wake it.
-func WaitOr(ctx context.Context, length time.Duration, wake <-chan struct{}) error {
-	timer := time.NewTimer(length)
+func WaitOr(ctx context.Context, duration time.Duration, wake <-chan struct{}) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/pkg/keepalive/keepalive.go
+++ b/pkg/keepalive/keepalive.go
@@ -10,28 +10,28 @@
 )
 
 // probes are the questions that a silence holds, besides the time before the first.
-const probes = 2
+const probeCount = 2
 
 // config divides a silence among probes. The system counts in whole seconds and takes
 // parts of one for a whole one.
-func config(silence time.Duration) net.KeepAliveConfig {
-	step := silence / (probes + 1)
-	return net.KeepAliveConfig{Enable: true, Idle: step, Interval: step, Count: probes}
+func keepAliveConfig(silenceTimeout time.Duration) net.KeepAliveConfig {
+	step := silenceTimeout / (probeCount + 1)
+	return net.KeepAliveConfig{Enable: true, Idle: step, Interval: step, Count: probeCount}
 }
 
 // Dialer connects within a time. Its connections end after a silence: with data that
 // is not acknowledged, or at rest.
-func Dialer(connect, silence time.Duration) *net.Dialer {
+func Dialer(connectTimeout, silenceTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout:         connect,
-		KeepAliveConfig: config(silence),
-		Control:         userTimeout(silence),
+		Timeout:         connectTimeout,
+		KeepAliveConfig: keepAliveConfig(silenceTimeout),
+		Control:         userTimeout(silenceTimeout),
 	}
 }
 
 // Listen listens on a TCP address. Its connections end after a silence while they are
 // at rest; what is not acknowledged is left to the deadlines of those who write.
-func Listen(address string, silence time.Duration) (net.Listener, error) {
-	listening := net.ListenConfig{KeepAliveConfig: config(silence)}
-	return listening.Listen(context.Background(), "tcp", address)
+func Listen(address string, silenceTimeout time.Duration) (net.Listener, error) {
+	config := net.ListenConfig{KeepAliveConfig: keepAliveConfig(silenceTimeout)}
+	return config.Listen(context.Background(), "tcp", address)
 }
--- a/pkg/keepalive/keepalive_test.go
+++ b/pkg/keepalive/keepalive_test.go
@@ -41,7 +41,7 @@
 		defer other.Close()
 		So(option(conn, unix.TCP_KEEPIDLE), ShouldEqual, 1)
 		So(option(conn, unix.TCP_KEEPINTVL), ShouldEqual, 1)
-		So(option(conn, unix.TCP_KEEPCNT), ShouldEqual, probes)
+		So(option(conn, unix.TCP_KEEPCNT), ShouldEqual, probeCount)
 		So(option(conn, unix.TCP_USER_TIMEOUT), ShouldEqual, 3000)
 		So(option(other, unix.TCP_KEEPIDLE), ShouldEqual, 3)
 		So(option(other, unix.TCP_KEEPINTVL), ShouldEqual, 3)
--- a/pkg/peer/conversions.go
+++ b/pkg/peer/conversions.go
@@ -159,7 +159,7 @@
 		Base:      uint64(k.Base),
 		GapAfter:  uint64(k.GapAfter),
 		GapBefore: uint64(k.GapBefore),
-		Looks:     k.Looks,
+		Looks:     k.Polls,
 		Digest:    k.Digest,
 	}
 }
@@ -172,7 +172,7 @@
 		Base:      epoch.Version(message.GetBase()),
 		GapAfter:  epoch.Version(message.GetGapAfter()),
 		GapBefore: epoch.Version(message.GetGapBefore()),
-		Looks:     message.GetLooks(),
+		Polls:     message.GetLooks(),
 		Digest:    message.GetDigest(),
 	}
 }
--- a/pkg/peer/orders.go
+++ b/pkg/peer/orders.go
@@ -93,16 +93,16 @@
 	return counts
 }
 
-func encodeRolloutVerdicts(verdicts []rollout.Word) (messages []*peerpb.RolloutWord) {
+func encodeRolloutVerdicts(verdicts []rollout.VerdictReport) (messages []*peerpb.RolloutWord) {
 	for _, verdict := range verdicts {
 		messages = append(messages, &peerpb.RolloutWord{Service: verdict.Service, Order: uint64(verdict.Order), Verdict: uint32(verdict.Verdict)})
 	}
 	return messages
 }
 
-func decodeRolloutVerdicts(messages []*peerpb.RolloutWord) (verdicts []rollout.Word) {
+func decodeRolloutVerdicts(messages []*peerpb.RolloutWord) (verdicts []rollout.VerdictReport) {
 	for _, message := range messages {
-		verdicts = append(verdicts, rollout.Word{
+		verdicts = append(verdicts, rollout.VerdictReport{
 			Service: message.Service,
 			Order:   epoch.Version(message.Order),
 			Verdict: rollout.Verdict(min(message.Verdict, uint32(rollout.RolledBack))),
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -76,7 +76,7 @@
 	// holds the changed ones only.
 	Departures []lifecycle.Departure
 	// Rollouts are the verdicts on roll-outs, sorted by service.
-	Rollouts []rollout.Word
+	Rollouts []rollout.VerdictReport
 	// Pools are by name. A received state holds the changed ones only.
 	Pools map[string]PoolState
 }
--- a/pkg/platform/store.go
+++ b/pkg/platform/store.go
@@ -113,7 +113,7 @@
 	path := s.rowPath(table, key)
 	err = s.call(fasthttp.MethodPut, path, value, conditionHeaders(when), response)
 	if err != nil {
-		return "", trace.Wrap(s.named(err, table, key))
+		return "", trace.Wrap(s.withRow(err, table, key))
 	}
 	return string(response.Header.Peek(fasthttp.HeaderETag)), nil
 }
@@ -123,7 +123,7 @@
 	response := &fasthttp.Response{}
 	path := s.rowPath(table, key)
 	err = s.call(fasthttp.MethodDelete, path, nil, conditionHeaders(Current{version}), response)
-	return trace.Wrap(s.named(err, table, key))
+	return trace.Wrap(s.withRow(err, table, key))
 }
 
 // Write is one conditional write of a transaction.
@@ -221,7 +221,7 @@
 }
 
 // named fills the row into a conflict.
-func (s *Store) named(err error, table, key string) error {
+func (s *Store) withRow(err error, table, key string) error {
 	if _, ok := trace.Unwrap(err).(*ConflictError); ok {
 		return &ConflictError{Table: table, Key: key}
 	}
--- a/pkg/registry/endpoints.go
+++ b/pkg/registry/endpoints.go
@@ -30,7 +30,7 @@
 			entries = append(entries, r.missingEntries(entries, version)...)
 		}
 		changed = r.mergeAll(entries, fromStore, now)
-		r.knowledge.Read(version, full)
+		r.knowledge.RecordPoll(version, full)
 		if full {
 			r.divergence.recordFullRead(changed, now)
 		}
@@ -246,7 +246,7 @@
 		return route.Change{Before: &route.Endpoint{ID: id}}
 	}
 	endpoint := &entry.Endpoint
-	evacuated, leaving := r.orders.Load().Evacuates(endpoint.Zone), r.isLeaving(endpoint)
+	evacuated, leaving := r.orders.Load().IsEvacuated(endpoint.Zone), r.isLeaving(endpoint)
 	if evacuated != endpoint.Evacuated || leaving != endpoint.Leaving {
 		changed := *endpoint
 		changed.Evacuated, changed.Leaving = evacuated, leaving
@@ -309,11 +309,11 @@
 			r.missing.record(knowledge.Known, r.maxLeavingDelay(), now)
 			return changed
 		}
-		polled = knowledge.Looks > r.knowledge.Looks
+		polled = knowledge.Polls > r.knowledge.Polls
 		if known := r.knowledge.Known; known.HasEarlierEpochThan(knowledge.Known) && known != 0 {
 			r.logRestored(known, knowledge.Known, from)
 		}
-		r.knowledge.Join(knowledge)
+		r.knowledge.Merge(knowledge)
 		return changed
 	})
 	if polled {
@@ -336,11 +336,11 @@
 // has to know what became of these entries as well. The lock is held.
 func (r *Registry) canUpdateFrom(other route.Knowledge) bool {
 	own := r.knowledge
-	if own.Known == 0 || !other.Serves(own) {
+	if own.Known == 0 || !other.CanUpdate(own) {
 		return own.Known == 0
 	}
 	return r.entries.every(own.Known, func(later *Entry) bool {
-		return other.Serves(route.Knowledge{Known: later.Version})
+		return other.CanUpdate(route.Knowledge{Known: later.Version})
 	})
 }
 
@@ -360,10 +360,10 @@
 	case ahead && (newest > upTo || upTo == 0):
 		ask = true
 	default:
-		r.knowledge.Join(other)
+		r.knowledge.Merge(other)
 	}
 	news = r.knowledge != known
-	polled := r.knowledge.Looks > known.Looks
+	polled := r.knowledge.Polls > known.Polls
 	r.mu.Unlock()
 	if polled {
 		r.RecordPeerPoll()
--- a/pkg/registry/follow_test.go
+++ b/pkg/registry/follow_test.go
@@ -47,7 +47,7 @@
 	}
 	inform := func(b *box) {
 		b.OfferCatalog([]byte("version 1"), "box-2")
-		b.OfferEntries([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, route.Knowledge{Known: 1, Base: 1, Looks: 1}, "box-2")
+		b.OfferEntries([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, route.Knowledge{Known: 1, Base: 1, Polls: 1}, "box-2")
 	}
 	cases := []struct {
 		name string
@@ -154,11 +154,11 @@
 			group := errgroup.Group{}
 			group.Go(func() error { return r.Run(ctx) })
 			r.OfferCatalog([]byte("version 1"), "box-2")
-			r.OfferEntries([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, route.Knowledge{Known: 1, Base: 1, Looks: 1}, "box-2")
+			r.OfferEntries([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, route.Knowledge{Known: 1, Base: 1, Polls: 1}, "box-2")
 			time.Sleep(time.Minute)
 			store.change(func(s *fakeState) { s.remove("a", 2); s.put("b", 3) })
 			// The other box started later, with a full read, and reports its knowledge repeatedly.
-			later := route.Knowledge{Known: 3, Base: 3, Looks: 2}
+			later := route.Knowledge{Known: 3, Base: 3, Polls: 2}
 			for range 20 {
 				r.ReceiveKnowledge(later, 3)
 				time.Sleep(500 * time.Millisecond)
--- a/pkg/registry/orders.go
+++ b/pkg/registry/orders.go
@@ -105,10 +105,10 @@
 	if before == nil {
 		before = &route.Orders{}
 	}
-	if !orders.Differ(before) {
+	if !orders.DiffersFrom(before) {
 		return
 	}
-	if orders.EvacuatesOthers(before) && r.directory.Load() != nil {
+	if orders.EvacuationDiffersFrom(before) && r.directory.Load() != nil {
 		r.entries.each(func(entry *Entry) { r.changedIDs = append(r.changedIDs, entry.ID) })
 		r.publish()
 	}
@@ -130,7 +130,7 @@
 	if orders == nil || orders.Kept.IsEmpty() || now.Before(orders.KeptUntil) {
 		return false
 	}
-	r.setOrders(orders.Lapse(), fromStore)
+	r.setOrders(orders.WithoutKept(), fromStore)
 	return true
 }
 
@@ -145,8 +145,8 @@
 		if before == nil {
 			continue
 		}
-		for _, known := range before.Moves() {
-			if known.Service == order.Service && (known.Version == order.Version || order.Renews(known)) {
+		for _, known := range before.ActiveRollouts() {
+			if known.Service == order.Service && (known.Version == order.Version || order.IsRewriteOf(known)) {
 				order.SeenAt = known.SeenAt
 			}
 		}
--- a/pkg/request/refusal.go
+++ b/pkg/request/refusal.go
@@ -70,7 +70,7 @@
 	Code    Code
 	Message string
 	// Run is what is known of whether an endpoint ran the request.
-	Run Run
+	Run RunStatus
 	// RetryAfter tells the caller when to come back; 0 means that it should not.
 	RetryAfter time.Duration
 }
@@ -95,12 +95,12 @@
 }
 
 type refusalError struct {
-	Code       Code    `json:"code"`
-	Type       string  `json:"type"`
-	Message    string  `json:"message"`
-	RequestID  string  `json:"request_id"`
-	Run        Run     `json:"run"`
-	RetryAfter float64 `json:"retry_after_seconds,omitempty"`
+	Code       Code      `json:"code"`
+	Type       string    `json:"type"`
+	Message    string    `json:"message"`
+	RequestID  string    `json:"request_id"`
+	Run        RunStatus `json:"run"`
+	RetryAfter float64   `json:"retry_after_seconds,omitempty"`
 }
 
 // Write puts the refusal into an answer.
--- a/pkg/request/state.go
+++ b/pkg/request/state.go
@@ -36,28 +36,28 @@
 }
 
 // Run is what is known of whether an endpoint ran a request.
-type Run string
+type RunStatus string
 
 // What the header Quaylead-Run says.
 const (
-	NotRun  Run = "not-run"
-	Unknown Run = "unknown"
-	DidRun  Run = "run"
+	NotRun  RunStatus = "not-run"
+	Unknown RunStatus = "unknown"
+	DidRun  RunStatus = "run"
 )
 
 // OrderError reports a step that the state machine does not allow.
-type OrderError struct {
+type TransitionError struct {
 	From, To State
 }
 
 // Error names both states.
-func (e *OrderError) Error() string {
+func (e *TransitionError) Error() string {
 	return fmt.Sprintf("request cannot go from %s to %s", e.From, e.To)
 }
 
 // Life is where one request stands. Its zero value is a request just received.
 // One goroutine at a time uses it.
-type Life struct {
+type Lifecycle struct {
 	state State
 	// attempts counts the endpoints that a byte may have left for.
 	attempts int
@@ -70,22 +70,22 @@
 }
 
 // State returns where the request stands.
-func (l *Life) State() State {
+func (l *Lifecycle) State() State {
 	return l.state
 }
 
 // Attempts returns the number of endpoints that the request was sent to.
-func (l *Life) Attempts() int {
+func (l *Lifecycle) Attempts() int {
 	return l.attempts
 }
 
 // Advance moves the request forward, and an attempt forward through its states.
-func (l *Life) Advance(to State) error {
+func (l *Lifecycle) Advance(to State) error {
 	if to <= l.state {
-		return &OrderError{From: l.state, To: to}
+		return &TransitionError{From: l.state, To: to}
 	}
 	if (to == Sent || to == Answering) && l.state < Sending {
-		return &OrderError{From: l.state, To: to}
+		return &TransitionError{From: l.state, To: to}
 	}
 	if to == Sending {
 		l.attempts++
@@ -98,7 +98,7 @@
 
 // Prove notes that the endpoint of the latest attempt ran nothing: no byte of
 // the request left, or the endpoint said so in a way that proves it.
-func (l *Life) Prove() {
+func (l *Lifecycle) ProveNotRun() {
 	if l.provable {
 		l.provable = false
 		l.unproven--
@@ -107,12 +107,12 @@
 
 // Return puts a request back into the queue after a failed attempt. A request
 // that may not be repeated returns only if every attempt is proved not run.
-func (l *Life) Return(repeatable bool) error {
+func (l *Lifecycle) Requeue(repeatable bool) error {
 	if l.state < Sending || l.state >= Settled {
-		return &OrderError{From: l.state, To: Queued}
+		return &TransitionError{From: l.state, To: Queued}
 	}
 	if l.unproven > 0 && !repeatable {
-		return &OrderError{From: l.state, To: Queued}
+		return &TransitionError{From: l.state, To: Queued}
 	}
 	l.provable = false
 	l.state = Queued
@@ -120,7 +120,7 @@
 }
 
 // Run tells what a refusal at this point may say of the request.
-func (l *Life) Run() Run {
+func (l *Lifecycle) RunStatus() RunStatus {
 	if l.unproven > 0 {
 		return Unknown
 	}
--- a/pkg/request/state_test.go
+++ b/pkg/request/state_test.go
@@ -24,7 +24,7 @@
 // against what happened: it says not-run only if every attempt is proved.
 func TestRefusalsNeverClaimTooMuch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var life request.Life
+		var life request.Lifecycle
 		repeatable := rapid.Bool().Draw(t, "repeatable")
 		attempts, proved := 0, 0
 		latestProved := false
@@ -37,10 +37,10 @@
 					proved++
 				}
 				if before >= request.Sending {
-					life.Prove()
+					life.ProveNotRun()
 				}
 			case 8:
-				err := life.Return(repeatable)
+				err := life.Requeue(repeatable)
 				if err == nil {
 					// No proof can come for an attempt that was left behind.
 					latestProved = true
@@ -59,8 +59,8 @@
 					latestProved = false
 				}
 			}
-			if (life.Run() == request.NotRun) != (attempts == proved) {
-				t.Fatalf("says %s after %d attempts, %d proved", life.Run(), attempts, proved)
+			if (life.RunStatus() == request.NotRun) != (attempts == proved) {
+				t.Fatalf("says %s after %d attempts, %d proved", life.RunStatus(), attempts, proved)
 			}
 		}
 	})
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -28,7 +28,7 @@
 }
 
 // Renews tells whether this is the other order, written again after the store was restored.
-func (o Order) Renews(other Order) bool {
+func (o Order) IsRewriteOf(other Order) bool {
 	return o.IsSame(other) && other.Version.HasEarlierEpochThan(o.Version)
 }
 
@@ -73,10 +73,10 @@
 }
 
 // Final tells whether nothing follows it.
-func (v Verdict) Final() bool { return v == Completed || v == RolledBack }
+func (v Verdict) IsFinal() bool { return v == Completed || v == RolledBack }
 
 // Word is a verdict as boxes tell it to each other.
-type Word struct {
+type VerdictReport struct {
 	Service string
 	// Order is the version of the order.
 	Order   epoch.Version
@@ -85,7 +85,7 @@
 
 // Side is the endpoints of a service that a request may go to, by their version. The zero
 // value admits all.
-type Side struct {
+type VersionFilter struct {
 	// Version is the one that is meant; empty means any.
 	Version string
 	// Others admits all but that one.
@@ -93,7 +93,7 @@
 }
 
 // Admits tells whether an endpoint of a version is among them.
-func (s Side) Admits(version string) bool {
+func (s VersionFilter) Admits(version string) bool {
 	return s.Version == "" || (version == s.Version) != s.Others
 }
 
@@ -104,8 +104,8 @@
 	// provedAfter and rampFor are parts of the time for the move. A version that fails only
 	// under load does so while its share grows; with these it has had less than a tenth of
 	// all requests up to a share of six tenths.
-	provedAfter = 0.45
-	rampFor     = 0.3
+	proofFraction = 0.45
+	rampFraction  = 0.3
 )
 
 // Share is the part of the requests that goes to the target, by a verdict that came at a
@@ -115,7 +115,7 @@
 	case Proving:
 		return provingShare
 	case Approved:
-		grown := float64(now.Sub(since)) / (rampFor * float64(o.Within))
+		grown := float64(now.Sub(since)) / (rampFraction * float64(o.Within))
 		return min(1, provingShare+(1-provingShare)*max(0, grown))
 	case Moved, Completed:
 		return 1
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -49,26 +49,26 @@
 
 // rule decides by counts; Judge is one.
 type rule interface {
-	Decide(Counts, time.Time) Verdict
+	Evaluate(Counts, time.Time) Verdict
 	Verdict() (Verdict, time.Time)
 }
 
 // fixedRatio is the rule that was weighed against Judge: a version is bad once a fixed part
 // of a least number of its answers is.
 type fixedRatio struct {
-	Judge
+	Evaluator
 }
 
 const (
-	ratioMost  = 0.1
-	ratioLeast = 20
+	maxBadRatio       = 0.1
+	minRatioResponses = 20
 )
 
-func (f *fixedRatio) Decide(counts Counts, now time.Time) Verdict {
+func (f *fixedRatio) Evaluate(counts Counts, now time.Time) Verdict {
 	all := Tally{}
 	for _, tally := range counts.Routes {
 		all.Add(tally)
-		if answered := tally.TargetGood + tally.TargetBad; answered >= ratioLeast && float64(tally.TargetBad) > ratioMost*float64(answered) {
+		if answered := tally.TargetGood + tally.TargetBad; answered >= minRatioResponses && float64(tally.TargetBad) > maxBadRatio*float64(answered) {
 			f.Adopt(Halted, now)
 		}
 	}
@@ -76,11 +76,11 @@
 	for route, tally := range counts.Routes {
 		quiet[route] = Tally{TargetGood: tally.TargetGood + tally.TargetBad, OldGood: tally.OldGood + tally.OldBad}
 	}
-	return f.Judge.Decide(Counts{Routes: quiet, OldRunning: counts.OldRunning}, now)
+	return f.Evaluator.Evaluate(Counts{Routes: quiet, OldRunning: counts.OldRunning}, now)
 }
 
 // played is what came of one drawn roll-out.
-type played struct {
+type simulationResult struct {
 	verdict Verdict
 	after   time.Duration
 	// exposed is the part of all requests up to the end of the time that went to the
@@ -94,15 +94,15 @@
 
 // play has a rule decide on a drawn version, told twice a second, with some requests a
 // second on two routes.
-func play(r rule, order Order, v version, perSecond int, oldFails float64, draw *rand.Rand) (got played) {
-	const step, tell = 20 * time.Millisecond, 500 * time.Millisecond
+func simulate(r rule, order Order, v version, perSecond int, oldFails float64, draw *rand.Rand) (got simulationResult) {
+	const step, evaluateInterval = 20 * time.Millisecond, 500 * time.Millisecond
 	counts := Counts{Routes: map[string]Tally{}}
 	total, target := 0, 0
 	fiftieth := time.Duration(-1)
 	for passed := time.Duration(0); passed <= order.Within; passed += step {
 		now := order.SeenAt.Add(passed)
-		if passed%tell == 0 {
-			if before, _ := r.Verdict(); before < Moved && r.Decide(counts, now) >= Moved {
+		if passed%evaluateInterval == 0 {
+			if before, _ := r.Verdict(); before < Moved && r.Evaluate(counts, now) >= Moved {
 				got.after = passed
 			}
 		}
@@ -157,7 +157,7 @@
 		for _, v := range badVersions {
 			for _, perSecond := range []int{200, 800} {
 				for seed := range uint64(draws) {
-					got := play(&Judge{Order: testOrder()}, testOrder(), v, perSecond, oldBad, rand.New(rand.NewPCG(seed, 1)))
+					got := simulate(&Evaluator{Order: testOrder()}, testOrder(), v, perSecond, oldBad, rand.New(rand.NewPCG(seed, 1)))
 					So(fmt.Sprintf("%s, seed %d: %s", v.name, seed, got.verdict), ShouldEqual, fmt.Sprintf("%s, seed %d: %s", v.name, seed, Halted))
 					So(got.exposed, ShouldBeLessThan, 0.1)
 					So(got.lateBad, ShouldEqual, 0)
@@ -168,35 +168,35 @@
 	Convey("Good versions have all requests in time", t, func() {
 		for _, oldFails := range []float64{0, oldBad, 0.2} {
 			for seed := range uint64(draws) {
-				got := play(&Judge{Order: testOrder()}, testOrder(), goodVersion, 800, oldFails, rand.New(rand.NewPCG(seed, 2)))
+				got := simulate(&Evaluator{Order: testOrder()}, testOrder(), goodVersion, 800, oldFails, rand.New(rand.NewPCG(seed, 2)))
 				So(got.verdict, ShouldEqual, Moved)
 			}
 		}
 	})
 	Convey("One that all but few requests pass by is decided on by those few", t, func() {
 		for seed := range uint64(draws) {
-			good := play(&Judge{Order: testOrder()}, testOrder(), goodVersion, 100, 0, rand.New(rand.NewPCG(seed, 3)))
+			good := simulate(&Evaluator{Order: testOrder()}, testOrder(), goodVersion, 100, 0, rand.New(rand.NewPCG(seed, 3)))
 			So(good.verdict, ShouldEqual, Moved)
 		}
 	})
 	Convey("One that gets no requests is rolled back when the time is over", t, func() {
-		judge := &Judge{Order: testOrder()}
+		evaluator := &Evaluator{Order: testOrder()}
 		at := testOrder().SeenAt
-		So(judge.Decide(Counts{}, at.Add(11*time.Second)), ShouldEqual, Proving)
-		So(judge.Decide(Counts{}, at.Add(12*time.Second)), ShouldEqual, Halted)
+		So(evaluator.Evaluate(Counts{}, at.Add(11*time.Second)), ShouldEqual, Proving)
+		So(evaluator.Evaluate(Counts{}, at.Add(12*time.Second)), ShouldEqual, Halted)
 	})
 	Convey("What is final stays", t, func() {
-		judge := &Judge{Order: testOrder()}
-		judge.Adopt(RolledBack, testOrder().SeenAt)
-		judge.Adopt(Completed, testOrder().SeenAt)
-		So(judge.verdict, ShouldEqual, RolledBack)
+		evaluator := &Evaluator{Order: testOrder()}
+		evaluator.Adopt(RolledBack, testOrder().SeenAt)
+		evaluator.Adopt(Completed, testOrder().SeenAt)
+		So(evaluator.verdict, ShouldEqual, RolledBack)
 	})
 	Convey("A box that takes over and knows less takes nothing back", t, func() {
 		e := &evidence{}
-		e.learn(Tally{TargetGood: 10, TargetBad: 2, OldGood: 50}, time.Unix(1, 0))
-		before := e.against
-		So(e.learn(Tally{TargetGood: 3}, time.Unix(2, 0)), ShouldBeFalse)
-		So(e.against, ShouldEqual, before)
+		e.update(Tally{TargetGood: 10, TargetBad: 2, OldGood: 50}, time.Unix(1, 0))
+		before := e.logRatio
+		So(e.update(Tally{TargetGood: 3}, time.Unix(2, 0)), ShouldBeFalse)
+		So(e.logRatio, ShouldEqual, before)
 	})
 }
 
@@ -208,11 +208,11 @@
 			for _, name := range []string{"sequential", "fixed ratio"} {
 				right, after, exposed, late := 0, time.Duration(0), 0.0, 0
 				for seed := range uint64(draws) {
-					var r rule = &Judge{Order: testOrder()}
+					var r rule = &Evaluator{Order: testOrder()}
 					if name == "fixed ratio" {
-						r = &fixedRatio{Judge{Order: testOrder()}}
+						r = &fixedRatio{Evaluator{Order: testOrder()}}
 					}
-					got := play(r, testOrder(), v, 800, oldFails, rand.New(rand.NewPCG(seed, 4)))
+					got := simulate(r, testOrder(), v, 800, oldFails, rand.New(rand.NewPCG(seed, 4)))
 					if (got.verdict == Moved) == (v.name == goodVersion.name) {
 						right++
 					}
@@ -228,23 +228,23 @@
 
 func TestAnswers(t *testing.T) {
 	Convey("An answer several times slower than those of other versions is bad", t, func() {
-		a := Answers{}
+		a := ResponseStats{}
 		for range 20 {
-			a.Note("r", false, false, 50*time.Millisecond)
+			a.Record("r", false, false, 50*time.Millisecond)
 		}
-		a.Note("r", true, false, 60*time.Millisecond)
-		a.Note("r", true, false, 400*time.Millisecond)
-		a.Note("r", true, true, time.Millisecond)
-		So(a.Counts()["r"], ShouldResemble, Tally{TargetGood: 1, TargetBad: 2, OldGood: 20})
+		a.Record("r", true, false, 60*time.Millisecond)
+		a.Record("r", true, false, 400*time.Millisecond)
+		a.Record("r", true, true, time.Millisecond)
+		So(a.Tallies()["r"], ShouldResemble, Tally{TargetGood: 1, TargetBad: 2, OldGood: 20})
 	})
 }
 
 func TestSide(t *testing.T) {
 	Convey("A side admits one version, all others, or any", t, func() {
-		So(Side{}.Admits("v1"), ShouldBeTrue)
-		So(Side{Version: "v2"}.Admits("v1"), ShouldBeFalse)
-		So(Side{Version: "v2"}.Admits("v2"), ShouldBeTrue)
-		So(Side{Version: "v2", Others: true}.Admits("v1"), ShouldBeTrue)
-		So(Side{Version: "v2", Others: true}.Admits("v2"), ShouldBeFalse)
+		So(VersionFilter{}.Admits("v1"), ShouldBeTrue)
+		So(VersionFilter{Version: "v2"}.Admits("v1"), ShouldBeFalse)
+		So(VersionFilter{Version: "v2"}.Admits("v2"), ShouldBeTrue)
+		So(VersionFilter{Version: "v2", Others: true}.Admits("v1"), ShouldBeTrue)
+		So(VersionFilter{Version: "v2", Others: true}.Admits("v2"), ShouldBeFalse)
 	})
 }
--- a/pkg/route/catalog.go
+++ b/pkg/route/catalog.go
@@ -51,16 +51,16 @@
 	Timeout time.Duration
 	// Aim is the time within which an answer, or a stream's first event, is
 	// worth most.
-	Aim time.Duration
+	LatencyTarget time.Duration
 	// PauseAim is the longest pause between events that keeps a stream in time.
-	PauseAim time.Duration
+	GapTarget time.Duration
 	// MaxAttempts is the largest number of endpoints one request is sent to; at
 	// least 1.
 	MaxAttempts int
 	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int
 	// Homes are the regions in which its requests may be served; none means all.
-	Homes []string
+	AllowedRegions []string
 }
 
 // Target is a service that takes a part of a route's requests.
@@ -80,25 +80,25 @@
 	// Engine is set for model engines; nil means a plain service.
 	Engine *Engine
 	// Cold is what its endpoints take after a start.
-	Cold Cold
+	ColdStart ColdStart
 }
 
 // Cold is what the operator states of endpoints that have just started.
-type Cold struct {
+type ColdStart struct {
 	// For is how long they are cold.
-	For time.Duration
+	Duration time.Duration
 	// PerSecond is the number of requests a second that they bear meanwhile; 0 means that
 	// they bear as many as ever.
-	PerSecond float64
+	MaxPerSecond float64
 }
 
 // Bound is how much a cold endpoint takes in any second, where the fleet may go beyond
 // what it bears by a factor and some requests more.
-func (c Cold) Bound(factor, more float64) lifecycle.Bound {
-	if c.PerSecond <= 0 {
+func (c ColdStart) Bound(factor, extra float64) lifecycle.Bound {
+	if c.MaxPerSecond <= 0 {
 		return lifecycle.Bound{}
 	}
-	return lifecycle.Bound{Duration: c.For, MaxPerSecond: c.PerSecond*factor + more}
+	return lifecycle.Bound{Duration: c.Duration, MaxPerSecond: c.MaxPerSecond*factor + extra}
 }
 
 // Engine is what is known of the model engines of a service.
@@ -118,7 +118,7 @@
 	Priority *int
 	// Homes are the regions in which its requests may be served, beside those of the
 	// route; none means all.
-	Homes []string
+	AllowedRegions []string
 }
 
 // Limits bound what callers may send. Zero means no bound.
@@ -178,17 +178,17 @@
 }
 
 // Pick chooses one of the targets by weight; at is evenly spread over [0, 1).
-func (r *Route) Pick(at float64) string {
+func (r *Route) Pick(point float64) string {
 	total := 0.0
 	for _, target := range r.Targets {
 		total += target.Weight
 	}
-	at *= total
+	point *= total
 	for _, target := range r.Targets {
-		if at < target.Weight {
+		if point < target.Weight {
 			return target.Service
 		}
-		at -= target.Weight
+		point -= target.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
--- a/pkg/route/directory.go
+++ b/pkg/route/directory.go
@@ -38,7 +38,7 @@
 
 // Renews tells whether this account of an endpoint is of a later start than another one.
 // Where neither tells its start, another address does.
-func (e *Endpoint) Renews(other *Endpoint) bool {
+func (e *Endpoint) IsNewerInstanceThan(other *Endpoint) bool {
 	return e.Supersedes(&other.Facts) || (!e.Outdated(&other.Facts) && e.Address != other.Address)
 }
 
@@ -51,44 +51,44 @@
 // treeDegree makes nodes of up to 31 endpoints: a change copies two or three of them.
 const treeDegree = 16
 
-func byID(a, b *Endpoint) bool { return a.ID < b.ID }
+func lessByID(a, b *Endpoint) bool { return a.ID < b.ID }
 
-func byHash(a, b *Endpoint) bool { return a.Hash < b.Hash || (a.Hash == b.Hash && a.ID < b.ID) }
+func lessByHash(a, b *Endpoint) bool { return a.Hash < b.Hash || (a.Hash == b.Hash && a.ID < b.ID) }
 
 // With is the directory after some changes, and which of them there were: each has its
 // Before set to what was known.
-func (d *Directory) With(endpoints []Change) (next *Directory, changes []Change) {
+func (d *Directory) With(requested []Change) (next *Directory, changes []Change) {
 	next = &Directory{services: map[string]*btree.BTreeG[*Endpoint]{}}
 	if d == nil {
-		next.byID = btree.NewG(treeDegree, byID)
+		next.byID = btree.NewG(treeDegree, lessByID)
 	} else {
 		next.byID = d.byID.Clone()
 		next.services = maps.Clone(d.services)
 	}
 	cloned := map[string]bool{}
-	of := func(service string) *btree.BTreeG[*Endpoint] {
+	treeOf := func(service string) *btree.BTreeG[*Endpoint] {
 		tree := next.services[service]
 		switch {
 		case tree == nil:
-			tree = btree.NewG(treeDegree, byHash)
+			tree = btree.NewG(treeDegree, lessByHash)
 		case !cloned[service]:
 			tree = tree.Clone()
 		}
 		next.services[service], cloned[service] = tree, true
 		return tree
 	}
-	for _, change := range endpoints {
+	for _, change := range requested {
 		known := change.After
 		if known == nil {
 			known = change.Before
 		}
 		change.Before, _ = next.byID.Get(known)
 		if change.Before != nil && (change.After == nil || change.After.Service != change.Before.Service) {
-			of(change.Before.Service).Delete(change.Before)
+			treeOf(change.Before.Service).Delete(change.Before)
 		}
 		if change.After != nil {
 			next.byID.ReplaceOrInsert(change.After)
-			of(change.After.Service).ReplaceOrInsert(change.After)
+			treeOf(change.After.Service).ReplaceOrInsert(change.After)
 		} else if change.Before != nil {
 			next.byID.Delete(change.Before)
 		}
@@ -147,7 +147,7 @@
 }
 
 // EachOfGroup is Each for the endpoints of one group, without a look at the others.
-func (d *Directory) EachOfGroup(service string, group, groups int, call func(*Endpoint) bool) {
+func (d *Directory) EachInGroup(service string, group, groups int, call func(*Endpoint) bool) {
 	if d == nil || d.services[service] == nil {
 		return
 	}
@@ -158,7 +158,7 @@
 }
 
 // Of returns the endpoints of a service that do not leave.
-func (d *Directory) Of(service string) (found []Endpoint) {
+func (d *Directory) EndpointsOf(service string) (found []Endpoint) {
 	d.Each(service, func(e *Endpoint) bool {
 		found = append(found, *e)
 		return true
--- a/pkg/route/knowledge.go
+++ b/pkg/route/knowledge.go
@@ -15,7 +15,7 @@
 	GapAfter, GapBefore epoch.Version
 	// Looks numbers the looks of all boxes at the store: the one that looks counts on
 	// from the highest number it has heard. Two that look at once may take the same.
-	Looks uint64
+	Polls uint64
 	// Digest sums up the endpoints that are listed as of Known, for boxes that know as much to find
 	// out that they differ; 0 where it is not told.
 	Digest uint64
@@ -23,7 +23,7 @@
 
 // Serves tells whether what changed here after the other's Known is all that the other
 // lacks.
-func (k Knowledge) Serves(other Knowledge) bool {
+func (k Knowledge) CanUpdate(other Knowledge) bool {
 	if other.Known == 0 {
 		return true
 	}
@@ -32,7 +32,7 @@
 }
 
 // Join adds the knowledge of another one that serves this one.
-func (k *Knowledge) Join(other Knowledge) {
+func (k *Knowledge) Merge(other Knowledge) {
 	if k.Known == 0 {
 		k.Base = other.Base
 	}
@@ -40,16 +40,16 @@
 		k.addGap(other.GapAfter, other.GapBefore)
 	}
 	k.Known = max(k.Known, other.Known)
-	k.Looks = max(k.Looks, other.Looks)
+	k.Polls = max(k.Polls, other.Polls)
 }
 
 // Read adds what a look at the store told as of a version. A whole look does not tell
 // what came and went since the last one.
-func (k *Knowledge) Read(version epoch.Version, whole bool) {
-	k.Looks++
+func (k *Knowledge) RecordPoll(version epoch.Version, full bool) {
+	k.Polls++
 	if k.Known == 0 {
 		k.Base = version
-	} else if whole && version > k.Known {
+	} else if full && version > k.Known {
 		k.addGap(k.Known, version)
 	}
 	k.Known = max(k.Known, version)
--- a/pkg/route/orders.go
+++ b/pkg/route/orders.go
@@ -36,21 +36,21 @@
 // Keep takes over what was in force before and is still to hold. Of an earlier epoch of the
 // store that is all that is missing now, for a time; a roll-out is also kept where the order for
 // its service is older than the one known.
-func (o *Orders) Keep(before *Orders, now time.Time, hold time.Duration) {
+func (o *Orders) Keep(before *Orders, now time.Time, retention time.Duration) {
 	kept, until := before.Kept, before.KeptUntil
 	if before.Version.HasEarlierEpochThan(o.Version) {
-		kept, until = KeptOrders{Evacuated: before.zones(), Rollouts: before.Moves()}, now.Add(hold)
+		kept, until = KeptOrders{Evacuated: before.evacuatedZones(), Rollouts: before.ActiveRollouts()}, now.Add(retention)
 	}
 	if !now.Before(until) {
 		return
 	}
 	for _, zone := range kept.Evacuated {
-		if !o.Evacuates(zone) {
+		if !o.IsEvacuated(zone) {
 			o.Kept.Evacuated = append(o.Kept.Evacuated, zone)
 		}
 	}
 	for _, order := range kept.Rollouts {
-		if !o.replaces(order) {
+		if !o.hasReplacement(order) {
 			o.Kept.Rollouts = append(o.Kept.Rollouts, order)
 		}
 	}
@@ -61,7 +61,7 @@
 
 // replaces tells whether there is an order in place of one that was known: the same one, or one
 // that was written later. Of two epochs, a lower number may be that of an older order.
-func (o *Orders) replaces(known rollout.Order) bool {
+func (o *Orders) hasReplacement(known rollout.Order) bool {
 	later := func(order rollout.Order) bool {
 		return order.Service == known.Service &&
 			(order.IsSame(known) || !known.Version.HasEarlierEpochThan(order.Version) || order.Version.Counter() > known.Version.Counter())
@@ -70,12 +70,12 @@
 }
 
 // Lapse is the orders without what is kept.
-func (o *Orders) Lapse() *Orders {
+func (o *Orders) WithoutKept() *Orders {
 	return &Orders{Version: o.Version, Evacuated: o.Evacuated, Rollouts: o.Rollouts}
 }
 
 // zones are those to get nothing.
-func (o *Orders) zones() []string {
+func (o *Orders) evacuatedZones() []string {
 	zones := slices.Concat(o.Evacuated, o.Kept.Evacuated)
 	slices.Sort(zones)
 	return slices.Compact(zones)
@@ -83,26 +83,28 @@
 
 // Moves are the roll-outs in force, one for each service. A kept one goes before that which
 // the store has.
-func (o *Orders) Moves() []rollout.Order {
-	moves := slices.Clone(o.Kept.Rollouts)
+func (o *Orders) ActiveRollouts() []rollout.Order {
+	rollouts := slices.Clone(o.Kept.Rollouts)
 	for _, order := range o.Rollouts {
-		if !slices.ContainsFunc(moves, func(kept rollout.Order) bool { return kept.Service == order.Service }) {
-			moves = append(moves, order)
+		if !slices.ContainsFunc(rollouts, func(kept rollout.Order) bool { return kept.Service == order.Service }) {
+			rollouts = append(rollouts, order)
 		}
 	}
-	return moves
+	return rollouts
 }
 
 // Differ tells whether other orders say anything else.
-func (o *Orders) Differ(other *Orders) bool {
+func (o *Orders) DiffersFrom(other *Orders) bool {
 	same := func(a, b rollout.Order) bool { return a.Service == b.Service && a.Version == b.Version }
-	return o.EvacuatesOthers(other) || !slices.EqualFunc(o.Moves(), other.Moves(), same)
+	return o.EvacuationDiffersFrom(other) || !slices.EqualFunc(o.ActiveRollouts(), other.ActiveRollouts(), same)
 }
 
 // EvacuatesOthers tells whether other orders evacuate other zones.
-func (o *Orders) EvacuatesOthers(other *Orders) bool { return !slices.Equal(o.zones(), other.zones()) }
+func (o *Orders) EvacuationDiffersFrom(other *Orders) bool {
+	return !slices.Equal(o.evacuatedZones(), other.evacuatedZones())
+}
 
 // Evacuates tells whether a zone is to get nothing.
-func (o *Orders) Evacuates(zone string) bool {
+func (o *Orders) IsEvacuated(zone string) bool {
 	return o != nil && (slices.Contains(o.Evacuated, zone) || slices.Contains(o.Kept.Evacuated, zone))
 }
--- a/pkg/route/orders_test.go
+++ b/pkg/route/orders_test.go
@@ -11,41 +11,41 @@
 )
 
 func TestKeptOrders(t *testing.T) {
-	const hold = 8 * time.Second
+	const retention = 8 * time.Second
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	move := func(epochs, counter uint64, target string) rollout.Order {
+	makeOrder := func(epochs, counter uint64, target string) rollout.Order {
 		return rollout.Order{Service: "llm", Target: target, Version: epoch.Join(epochs, counter), Within: time.Minute}
 	}
-	before := Orders{Version: epoch.Join(1, 30), Evacuated: []string{"a", "b"}, Rollouts: []rollout.Order{move(1, 25, "v3")}}
+	before := Orders{Version: epoch.Join(1, 30), Evacuated: []string{"a", "b"}, Rollouts: []rollout.Order{makeOrder(1, 25, "v3")}}
 	after := func(orders Orders) Orders {
-		orders.Keep(&before, now, hold)
+		orders.Keep(&before, now, retention)
 		return orders
 	}
 	Convey("What a restored store lacks stays in force for a time", t, func() {
 		orders := after(Orders{Version: epoch.Join(2, 10), Evacuated: []string{"b"}})
-		So(orders.Evacuates("a"), ShouldBeTrue)
+		So(orders.IsEvacuated("a"), ShouldBeTrue)
 		So(orders.Kept.Evacuated, ShouldResemble, []string{"a"})
-		So(orders.Moves(), ShouldResemble, before.Rollouts)
-		So(orders.KeptUntil, ShouldEqual, now.Add(hold))
-		So(orders.Differ(&before), ShouldBeFalse)
-		lapsed := orders.Lapse()
-		So(lapsed.Evacuates("a"), ShouldBeFalse)
-		So(lapsed.Evacuates("b"), ShouldBeTrue)
-		So(lapsed.Moves(), ShouldBeEmpty)
+		So(orders.ActiveRollouts(), ShouldResemble, before.Rollouts)
+		So(orders.KeptUntil, ShouldEqual, now.Add(retention))
+		So(orders.DiffersFrom(&before), ShouldBeFalse)
+		lapsed := orders.WithoutKept()
+		So(lapsed.IsEvacuated("a"), ShouldBeFalse)
+		So(lapsed.IsEvacuated("b"), ShouldBeTrue)
+		So(lapsed.ActiveRollouts(), ShouldBeEmpty)
 	})
 	Convey("Within one epoch, what is missing was withdrawn", t, func() {
 		orders := after(Orders{Version: epoch.Join(1, 31)})
-		So(orders.Evacuates("a"), ShouldBeFalse)
-		So(orders.Moves(), ShouldBeEmpty)
+		So(orders.IsEvacuated("a"), ShouldBeFalse)
+		So(orders.ActiveRollouts(), ShouldBeEmpty)
 	})
 	Convey("What is kept goes on through later versions, until its time is over or it is written", t, func() {
 		kept := after(Orders{Version: epoch.Join(2, 10)})
 		later := Orders{Version: epoch.Join(2, 11), Evacuated: []string{"a"}}
-		later.Keep(&kept, now.Add(time.Second), hold)
+		later.Keep(&kept, now.Add(time.Second), retention)
 		So(later.Kept.Evacuated, ShouldResemble, []string{"b"})
-		So(later.KeptUntil, ShouldEqual, now.Add(hold))
+		So(later.KeptUntil, ShouldEqual, now.Add(retention))
 		over := Orders{Version: epoch.Join(2, 12)}
-		over.Keep(&kept, now.Add(hold), hold)
+		over.Keep(&kept, now.Add(retention), retention)
 		So(over.Kept.IsEmpty(), ShouldBeTrue)
 	})
 	Convey("An older order of the copy does not replace a roll-out, a later one and the same one do", t, func() {
@@ -53,23 +53,23 @@
 			order    rollout.Order
 			replaces bool
 		}{
-			{move(2, 12, "v2"), false},
-			{move(2, 31, "v4"), true},
-			{move(2, 12, "v3"), true},
+			{makeOrder(2, 12, "v2"), false},
+			{makeOrder(2, 31, "v4"), true},
+			{makeOrder(2, 12, "v3"), true},
 		} {
 			orders := after(Orders{Version: epoch.Join(2, 40), Rollouts: []rollout.Order{c.order}})
 			wanted := before.Rollouts
 			if c.replaces {
 				wanted = []rollout.Order{c.order}
 			}
-			So(orders.Moves(), ShouldResemble, wanted)
+			So(orders.ActiveRollouts(), ShouldResemble, wanted)
 		}
 	})
 	Convey("What a peer keeps is taken, and not twice", t, func() {
-		told := Orders{Version: epoch.Join(2, 10), Kept: KeptOrders{Evacuated: []string{"a"}, Rollouts: before.Rollouts}, KeptUntil: now.Add(time.Second)}
-		orders := after(told)
+		reported := Orders{Version: epoch.Join(2, 10), Kept: KeptOrders{Evacuated: []string{"a"}, Rollouts: before.Rollouts}, KeptUntil: now.Add(time.Second)}
+		orders := after(reported)
 		So(orders.Kept.Evacuated, ShouldResemble, []string{"a", "b"})
 		So(orders.Kept.Rollouts, ShouldHaveLength, 1)
-		So(orders.KeptUntil, ShouldEqual, now.Add(hold))
+		So(orders.KeptUntil, ShouldEqual, now.Add(retention))
 	})
 }
--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -235,7 +235,7 @@
 		return report, err
 	}
 	defer answer.Close()
-	body, err := answer.Whole(r.Box.Limits.HeaderBytes)
+	body, err := answer.ReadAll(r.Box.Limits.HeaderBytes)
 	if err != nil {
 		return report, err
 	}
--- a/pkg/router/job.go
+++ b/pkg/router/job.go
@@ -27,7 +27,7 @@
 	pool      *pool.Pool
 	rules     settings.Pool
 	ticket    *pool.Ticket
-	lifecycle request.Life
+	lifecycle request.Lifecycle
 	// repeatable tells that the request may be sent more than once.
 	repeatable bool
 	// compose writes the request for the endpoint that was chosen.
@@ -105,7 +105,7 @@
 // obtain gets the head of an endpoint's answer for a ticket in line, trying
 // other endpoints as far as that is safe and within the retry budget. The
 // ticket is running then.
-func (j *job) obtainAnswer() (*endpoint.Answer, *request.Refusal) {
+func (j *job) obtainAnswer() (*endpoint.CheckedResponse, *request.Refusal) {
 	for {
 		if refusal := j.awaitGrant(); refusal != nil {
 			return nil, refusal
@@ -159,7 +159,7 @@
 	return &request.Refusal{
 		Code:       request.NoEndpoint,
 		Message:    "no endpoint of the pool can be used now",
-		Run:        j.lifecycle.Run(),
+		Run:        j.lifecycle.RunStatus(),
 		RetryAfter: max(wait, defaultRetryAfter),
 	}
 }
@@ -170,13 +170,13 @@
 		return &request.Refusal{
 			Code:    request.CallerGone,
 			Message: "the caller went away",
-			Run:     j.lifecycle.Run(),
+			Run:     j.lifecycle.RunStatus(),
 		}
 	}
 	return &request.Refusal{
 		Code:       request.DeadlinePassed,
 		Message:    "the request's deadline passed",
-		Run:        j.lifecycle.Run(),
+		Run:        j.lifecycle.RunStatus(),
 		RetryAfter: defaultRetryAfter,
 	}
 }
@@ -208,7 +208,7 @@
 }
 
 // attempt sends the request to the granted endpoint.
-func (j *job) attempt() (*endpoint.Answer, error) {
+func (j *job) attempt() (*endpoint.CheckedResponse, error) {
 	j.grants++
 	call, err := j.buildRequest()
 	if err != nil {
@@ -232,7 +232,7 @@
 }
 
 // inspect judges the head of an answer.
-func (j *job) inspect(answer *endpoint.Answer) error {
+func (j *job) inspect(answer *endpoint.CheckedResponse) error {
 	header := &answer.Response.Header
 	echoed := header.Peek(request.IDHeader)
 	if len(echoed) > 0 && string(echoed) != j.id {
@@ -272,7 +272,7 @@
 	abandoned := errors.Is(err, callerGoneError{}) || errors.Is(err, deadlineError{})
 	switch {
 	case errors.As(err, &declined):
-		j.lifecycle.Prove()
+		j.lifecycle.ProveNotRun()
 		j.pool.Finish(j.ticket, pool.Declined{Leaving: declined.leaving})
 	case abandoned:
 		j.pool.Finish(j.ticket, pool.Abandoned{})
@@ -289,7 +289,7 @@
 	return &request.Refusal{
 		Code:       request.EndpointFailed,
 		Message:    "the endpoint did not give a whole answer",
-		Run:        j.lifecycle.Run(),
+		Run:        j.lifecycle.RunStatus(),
 		RetryAfter: defaultRetryAfter,
 	}
 }
@@ -301,7 +301,7 @@
 	if j.lifecycle.Attempts() >= maxAttempts || j.grants >= maxGrants {
 		return false
 	}
-	if j.lifecycle.State() >= request.Sending && j.lifecycle.Return(j.repeatable) != nil {
+	if j.lifecycle.State() >= request.Sending && j.lifecycle.Requeue(j.repeatable) != nil {
 		return false
 	}
 	j.router.Metrics.Retries.Add(j.poolName, 1)
--- a/pkg/router/model.go
+++ b/pkg/router/model.go
@@ -85,13 +85,13 @@
 }
 
 // answerWhole passes on an answer that came in one piece.
-func (j *job) relayWhole(answer *endpoint.Answer) error {
-	body, err := answer.Whole(j.router.Box.Limits.AnswerBytes)
+func (j *job) relayWhole(answer *endpoint.CheckedResponse) error {
+	body, err := answer.ReadAll(j.router.Box.Limits.AnswerBytes)
 	if err != nil {
 		return err
 	}
 	answer.Close()
-	usage, known := endpoint.WholeUsage(body)
+	usage, known := endpoint.ParseUsage(body)
 	j.pool.Begin(j.ticket)
 	j.finish(pool.Answered{
 		InputTokens:  float64(usage.PromptTokens),
@@ -105,7 +105,7 @@
 }
 
 // answerStream hands the stream to the server, which reads it event by event.
-func (j *job) relayStream(answer *endpoint.Answer, keepUsage bool) error {
+func (j *job) relayStream(answer *endpoint.CheckedResponse, keepUsage bool) error {
 	events := &endpoint.EventStream{Source: answer, KeepUsage: keepUsage}
 	events.Count = func(tokens int) { j.pool.Stream(j.ticket, float64(tokens)) }
 	if err := events.Prime(); err != nil {
@@ -132,7 +132,7 @@
 // body is an answer on its way to the caller. Its Close settles the request.
 type body struct {
 	job    *job
-	answer *endpoint.Answer
+	answer *endpoint.CheckedResponse
 	// whole is set once the end was passed on.
 	complete bool
 	closed   bool
@@ -188,6 +188,6 @@
 	return b.close(pool.Answered{
 		InputTokens:  float64(b.events.Usage.PromptTokens),
 		OutputTokens: float64(b.events.Usage.CompletionTokens),
-		UsageKnown:   b.events.Known,
+		UsageKnown:   b.events.UsageKnown,
 	})
 }
--- a/pkg/router/plain.go
+++ b/pkg/router/plain.go
@@ -58,10 +58,10 @@
 }
 
 // passOn hands an answer to the server, which reads it piece by piece.
-func (j *job) relay(answer *endpoint.Answer) *request.Refusal {
+func (j *job) relay(answer *endpoint.CheckedResponse) *request.Refusal {
 	j.pool.Begin(j.ticket)
 	j.copyHeader(answer)
-	if answer.Empty() {
+	if answer.IsEmpty() {
 		j.ctx.Response.SkipBody = j.ctx.IsHead()
 		answer.Close()
 		j.finish(pool.Answered{})
@@ -150,24 +150,24 @@
 // sendClaimed makes the one call that a claim allows.
 func (j *job) sendClaimed(held *claim.Claim) *request.Refusal {
 	refusal := j.pool.Submit(j.ticket)
-	var answer *endpoint.Answer
+	var answer *endpoint.CheckedResponse
 	if refusal == nil {
 		answer, refusal = j.obtainAnswer()
 	}
 	if refusal != nil {
-		if j.lifecycle.Run() == request.NotRun {
+		if j.lifecycle.RunStatus() == request.NotRun {
 			j.router.claims.Release(held)
 		}
 		return refusal
 	}
 	defer answer.Close()
-	content, err := answer.Whole(j.router.Box.Limits.AnswerBytes)
+	content, err := answer.ReadAll(j.router.Box.Limits.AnswerBytes)
 	if err != nil {
 		j.pool.Finish(j.ticket, pool.Failed{})
 		return &request.Refusal{
 			Code:    request.OutcomeUnknown,
 			Message: "the call ran, but its answer did not come whole",
-			Run:     j.lifecycle.Run(),
+			Run:     j.lifecycle.RunStatus(),
 		}
 	}
 	j.finish(pool.Answered{})
@@ -215,7 +215,7 @@
 }
 
 // copyHead starts the caller's answer with the endpoint's status and headers.
-func (j *job) copyHeader(answer *endpoint.Answer) {
+func (j *job) copyHeader(answer *endpoint.CheckedResponse) {
 	response := &j.ctx.Response
 	closing := response.ConnectionClose()
 	answer.Response.Header.CopyTo(&response.Header)
