--- a/cmd/quaybench/soak/caller.go
+++ b/cmd/quaybench/soak/caller.go
@@ -13,25 +13,26 @@
 	"github.com/quaylead/quaylead/platform/standin"
 )
 
-// outcome is what a caller saw of one request.
+// outcome is what a caller observed of one request.
 type outcome struct {
 	id, path string
 	kind     standin.RouteKind
 	customer int
 	box      *box
-	// life is the box's when the request was sent.
+	// incarnation is that of the box when the request was sent.
 	incarnation int
 	sent, ended time.Time
 	status      int
 	answeredID  string
 	body        string
-	// err is set when the answer was cut or none came.
+	// err is set if the response was cut or none came.
 	err error
-	// probes is the version whose route was asked for; 0 for other requests.
+	// probedVersion is the configuration version whose own route was requested; 0 for
+	// other requests.
 	probedVersion int
 }
 
-// names are the routes of the four kinds.
+// routeNames are the names of the routes of the four kinds.
 var routeNames = map[standin.RouteKind]string{
 	standin.Stream:          "brief",
 	standin.ResumableStream: "plan",
@@ -43,23 +44,23 @@
 
 const (
 	host = "shop.example"
-	// sharedParts is how many long parts the prompts begin with.
+	// sharedPrefixes is the number of different prefixes that prompts begin with.
 	sharedPrefixes = 20
-	// callerDeadline is what callers say that they wait.
+	// callerDeadline is the deadline that callers send with a request.
 	callerDeadline = 8 * time.Second
-	// streamEvents is the number of events of a whole stream.
+	// streamEvents is the number of events of a complete stream.
 	streamEvents = 15
-	// callerPatience is the longest that a caller waits for an answer.
+	// callerTimeout bounds the time that a caller waits for a response.
 	callerTimeout = 9 * time.Second
-	// callerRest is the longest time between two requests of one caller.
+	// maxCallerPause bounds the time between two requests of one caller.
 	maxCallerPause = 120 * time.Millisecond
-	// requestsLeast is how often a caller uses a connection, at least, unless it
-	// ends before.
+	// minConnectionRequests is the minimum number of requests that a caller sends on a
+	// connection, unless the box closes it earlier.
 	minConnectionRequests = 10
 )
 
-// caller sends one request after the other. It keeps its connection for as long
-// as the box does, also when the box is stopping.
+// caller sends one request after another. It does not give up its connection when the box
+// begins to stop; it waits for the box to close it.
 type caller struct {
 	world  *world
 	number int
@@ -98,8 +99,8 @@
 	c.conn = nil
 }
 
-// connect goes to a box by chance; the platform's balancer would leave out those
-// that are not ready.
+// connect connects to a random box. Unlike the platform's balancer it also picks boxes that
+// are not ready.
 func (c *caller) connect() bool {
 	c.box = c.world.boxes[c.rng.IntN(len(c.world.boxes))]
 	conn, err := net.DialTimeout("tcp", c.box.callerAddress, time.Second)
@@ -112,7 +113,7 @@
 	return true
 }
 
-// call sends one request and reads its answer.
+// call sends one request and reads its response.
 func (c *caller) call() (got outcome) {
 	c.sent++
 	got = outcome{
@@ -169,6 +170,7 @@
 	return err
 }
 
+// newestVersion returns the version of the newest configuration.
 func (w *world) newestVersion() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/cmd/quaybench/soak/check.go
+++ b/cmd/quaybench/soak/check.go
@@ -14,25 +14,25 @@
 	"github.com/quaylead/quaylead/platform/standin"
 )
 
-// The bounds of what is checked by time.
+// The bounds of the checks.
 const (
-	// leavingBound is how long after it said that it leaves a server may get new
-	// work, and configurationBound how long a new configuration may take; each is
-	// the users' 2 s and as much again for a busy machine.
+	// maxLeavingDelay is how long after it announced that it leaves a server may get new
+	// work, and maxConfigurationDelay how long a new configuration may take to be in
+	// force. Each is the 2 s that the users require, doubled for a busy machine.
 	maxLeavingDelay       = 4 * time.Second
 	maxConfigurationDelay = 4 * time.Second
-	// stopJudged is how long into a planned stop requests are taken that have to
-	// be answered; later ones may not have the time.
+	// stopCheckWindow is how long after the start of a planned stop accepted requests must
+	// still be answered. Later ones may not have enough time left.
 	stopCheckWindow = 2 * time.Second
-	// servedLeast is the part of the requests that has to be served again once all
-	// faults have ended: what is left are drawn refusals of a busy machine.
+	// minServedFraction is the fraction of requests that has to be served once all faults
+	// have ended. The others are random refusals on a busy machine.
 	minServedFraction = 0.8
-	// mostBroken bounds the lines of a verdict.
+	// maxViolations bounds the lines of a verdict.
 	maxViolations = 20
 )
 
-// check holds what callers saw against what ran. Calm is when service has to be
-// back.
+// check compares what callers observed with what ran at the servers. From calmFrom on
+// requests have to be served again.
 func (w *world) check(calmFrom time.Time) (violations []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,30 +67,30 @@
 	return fmt.Sprintf("%s %s at %s: %s (status %d, error %v)", o.id, o.path, o.box.Name, violation, o.status, o.err)
 }
 
-// problems are the promises of one request that were not kept.
+// violations returns the guarantees of one request that were not kept.
 func (o *outcome) violations(runs []standin.Run) (violations []string) {
 	if o.err == nil && o.status == fasthttp.StatusOK && o.body != o.expectedBody() {
-		violations = append(violations, fmt.Sprintf("its answer is not the whole one to it: %d bytes of %d, %q at the end", len(o.body), len(o.expectedBody()), tail(o.body)))
+		violations = append(violations, fmt.Sprintf("its response is not the complete one: %d bytes of %d, %q at the end", len(o.body), len(o.expectedBody()), tail(o.body)))
 	}
 	if o.answeredID != "" && o.answeredID != o.id {
-		violations = append(violations, "it got the answer of "+o.answeredID)
+		violations = append(violations, "it got the response of "+o.answeredID)
 	}
 	if o.err == nil && meansNotRun(o.status) && len(runs) > 0 {
-		violations = append(violations, "it was said not to have run, and ran at "+runs[0].Server)
+		violations = append(violations, "it was reported as not run, but ran at "+runs[0].Server)
 	}
 	if (o.kind == standin.Stream || o.kind == standin.Booking) && len(runs) > 1 {
-		violations = append(violations, fmt.Sprintf("it must not be repeated, and ran %d times", len(runs)))
+		violations = append(violations, fmt.Sprintf("it must not be repeated, but ran %d times", len(runs)))
 	}
 	return violations
 }
 
-// ending is the last of a text, for a verdict.
+// tail returns the end of a text, for a verdict.
 func tail(text string) string {
 	const maxBytes = 60
 	return text[max(0, len(text)-maxBytes):]
 }
 
-// saysNotRun tells whether a status is a promise that nothing ran and will.
+// meansNotRun reports whether a status guarantees that the request did not run and will not.
 func meansNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable,
@@ -100,7 +100,7 @@
 	return false
 }
 
-// whole is the body that the stand-ins answer a request with.
+// expectedBody returns the complete body with which the stand-ins answer the request.
 func (o *outcome) expectedBody() string {
 	if o.kind == standin.Booking || o.kind == standin.Lookup {
 		return "answer to " + o.id
@@ -112,7 +112,8 @@
 	return body.String()
 }
 
-// cutByStop tells of a request that ran, and whose answer a planned stop cut.
+// cutByStop describes the violation if the request ran and a planned stop cut its response;
+// otherwise it returns "".
 func (w *world) cutByStop(o *outcome, runs []standin.Run) string {
 	if o.err == nil || len(runs) == 0 {
 		return ""
@@ -122,14 +123,14 @@
 	}
 	for _, stop := range o.box.stops {
 		if stop.incarnation == o.incarnation && o.ended.After(stop.began) && o.sent.Before(stop.began.Add(stopCheckWindow)) {
-			return "its answer was cut by a planned stop"
+			return "its response was cut by a planned stop"
 		}
 	}
 	return ""
 }
 
-// troublesDuring tells of faults of a box in one of its lives. The start of the
-// next life is none of this one's.
+// hadFault reports whether a box had a fault between from and to, in one of its incarnations.
+// The start of the next incarnation does not count.
 func (b *box) hadFault(incarnation int, from, to time.Time) bool {
 	if b.starts > incarnation {
 		for _, stop := range b.stops {
@@ -141,8 +142,8 @@
 	return b.faultTimes.overlaps(from, to) && !b.onlyRestarted(incarnation, from, to)
 }
 
-// onlyRestarted tells that nothing but the start after a planned stop falls into
-// a time.
+// onlyRestarted reports whether the only fault between from and to is the start after a planned
+// stop.
 func (b *box) onlyRestarted(incarnation int, from, to time.Time) bool {
 	stopped := slices.IndexFunc(b.stops, func(s stop) bool { return s.incarnation == incarnation })
 	if stopped < 0 {
@@ -164,7 +165,7 @@
 	return b
 }
 
-// checkLeaving looks for new work at servers that had said that they leave.
+// checkLeaving looks for new work at servers whose entries were marked as leaving or removed.
 func (w *world) checkLeaving(runs map[string][]standin.Run) (violations []string) {
 	left := map[string]time.Time{}
 	for _, s := range w.servers {
@@ -179,7 +180,7 @@
 			if !leaving {
 				continue
 			}
-			// A box that was cut off may not know, until its trouble is over.
+			// A box that was cut off may not know that before its fault is over.
 			settled := o.box.faultTimes.lastEnd(w.sharedFaultTimes.lastEnd(at, run.Began), run.Began)
 			if run.Began.Before(settled.Add(maxLeavingDelay)) {
 				continue
@@ -190,8 +191,8 @@
 	return violations
 }
 
-// checkConfigurations looks for boxes that go back to an older configuration, or
-// are late with a new one.
+// checkConfigurations looks for boxes that return to an older configuration, or put a new one
+// into force too late.
 func (w *world) checkConfigurations() (violations []string) {
 	type incarnation struct {
 		box    *box
@@ -224,16 +225,16 @@
 	return violations
 }
 
-// fromUnconfigured tells of a refusal by a box that has just started and has no configuration
-// yet: it says nothing of any route.
+// isFromUnconfigured reports whether the response is a refusal by a box that has just started and
+// has no configuration yet. It does not show whether a route exists.
 func (o *outcome) isFromUnconfigured() bool {
 	return o.status == fasthttp.StatusServiceUnavailable && strings.Contains(o.body, "no configuration yet")
 }
 
-// logSlack is how long a line may wait in a box's buffer; a kill loses it.
+// maxLogDelay is how long a line may stay in the log buffer of a box; a kill loses it.
 const maxLogDelay = time.Second
 
-// checkExplained looks in a box's log for a line of each request that failed.
+// checkLogged checks that the log of a box has a line about each request that failed.
 func checkLogged(outcomes []outcome, b *box) (violations []string) {
 	logged, err := loggedRequests(b.LogFile)
 	if err != nil {
@@ -245,12 +246,12 @@
 		if o.box != b || !failed || logged[o.id] || b.faultTimes.overlaps(o.sent, o.ended.Add(maxLogDelay)) {
 			continue
 		}
-		violations = append(violations, o.describe("no line of the log tells why"))
+		violations = append(violations, o.describe("the log has no line about it"))
 	}
 	return violations
 }
 
-// requestField finds the request of a line of the log.
+// requestField matches the request ID in a line of the log.
 var requestField = regexp.MustCompile(`\bRequest=(\S+)`)
 
 func loggedRequests(file string) (ids map[string]bool, err error) {
@@ -265,7 +266,8 @@
 	return ids, nil
 }
 
-// checkService holds that every box and every customer is served again.
+// checkService checks that every box serves requests again, and that every customer is served
+// again.
 func checkService(outcomes []outcome, boxes []*box, calmFrom time.Time) (violations []string) {
 	type count struct{ sent, served int }
 	customers, perBox := map[int]count{}, map[*box]count{}
@@ -284,12 +286,12 @@
 	}
 	for customer, c := range customers {
 		if float64(c.served) < minServedFraction*float64(c.sent) {
-			violations = append(violations, fmt.Sprintf("customer %d is served %d of %d after the last fault", customer, c.served, c.sent))
+			violations = append(violations, fmt.Sprintf("customer %d: %d of %d requests were served after the last fault", customer, c.served, c.sent))
 		}
 	}
 	for _, b := range boxes {
 		if c := perBox[b]; c.sent > 0 && c.served == 0 {
-			violations = append(violations, fmt.Sprintf("%s serves none of %d after the last fault", b.Name, c.sent))
+			violations = append(violations, fmt.Sprintf("%s served none of %d requests after the last fault", b.Name, c.sent))
 		}
 	}
 	if len(customers) == 0 {
--- a/cmd/quaybench/soak/check_test.go
+++ b/cmd/quaybench/soak/check_test.go
@@ -18,7 +18,7 @@
 	errCut = errors.New("cut")
 )
 
-// good is a lookup that was answered whole.
+// answeredLookup returns the outcome of a lookup that got a complete response.
 func answeredLookup(b *box) outcome {
 	return outcome{
 		id: "1", path: "/look/1", kind: standin.Lookup, box: b, incarnation: 1,
@@ -29,18 +29,18 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// TestChecksFail shows for each promise that its check can fail.
+// TestChecksFail shows for each check that it reports a violation.
 func TestChecksFail(t *testing.T) {
 	ran := []standin.Run{{ID: "1", Server: "api-1", Began: start}}
-	Convey("A request that was answered well breaks nothing", t, func() {
+	Convey("A request that was answered correctly is no violation", t, func() {
 		o := answeredLookup(&box{})
 		So(o.violations(ran), ShouldBeEmpty)
 	})
 	for name, spoil := range map[string]func(*outcome){
-		"an answer that is not whole":    func(o *outcome) { o.body = "answer" },
-		"an answer to another request":   func(o *outcome) { o.answeredID = "2" },
-		"a false promise of not run":     func(o *outcome) { o.status = 503 },
-		"a stream without its last part": func(o *outcome) { o.kind, o.body = standin.Stream, standin.Event("1", 1) },
+		"an incomplete response":          func(o *outcome) { o.body = "answer" },
+		"the response of another request": func(o *outcome) { o.answeredID = "2" },
+		"a false report of not run":       func(o *outcome) { o.status = 503 },
+		"a stream without its last part":  func(o *outcome) { o.kind, o.body = standin.Stream, standin.Event("1", 1) },
 	} {
 		Convey("It is found: "+name, t, func() {
 			o := answeredLookup(&box{})
@@ -53,7 +53,7 @@
 		o.kind = standin.Booking
 		So(o.violations(append(ran, ran...)), ShouldHaveLength, 1)
 	})
-	Convey("An answer that a planned stop cut is found, one that a kill cut is none", t, func() {
+	Convey("A response cut by a planned stop is a violation; one cut by a kill is not", t, func() {
 		b := &box{starts: 2, stops: []stop{{incarnation: 1, began: at(0.5)}}}
 		w := &world{}
 		o := answeredLookup(b)
@@ -65,7 +65,7 @@
 		b.faultTimes = spans{{from: at(0.2), to: at(4)}}
 		So(w.cutByStop(&o, ran), ShouldBeEmpty)
 	})
-	Convey("Work sent to a server long after it left is found, unless its box may not know", t, func() {
+	Convey("Work sent to a server long after it left is found, unless the box may not have been informed", t, func() {
 		b := &box{starts: 1}
 		left := &server{Server: &standin.Server{ID: "api-1"}, leftAt: at(-10)}
 		w := &world{servers: []*server{left}, outcomes: []outcome{answeredLookup(b)}}
@@ -76,7 +76,7 @@
 		b.faultTimes = spans{{from: at(-9), to: at(-8)}, {from: at(-7), to: at(-6)}}
 		So(w.checkLeaving(runs), ShouldHaveLength, 1)
 	})
-	Convey("A configuration that goes back, or comes late, is found", t, func() {
+	Convey("A return to an older configuration, and a late configuration, are found", t, func() {
 		b := &box{starts: 1}
 		present, absent := answeredLookup(b), answeredLookup(b)
 		present.probedVersion, absent.probedVersion = 2, 2
@@ -90,7 +90,7 @@
 		b.faultTimes = spans{{from: at(-5), to: at(-4)}}
 		So(w.checkConfigurations(), ShouldBeEmpty)
 	})
-	Convey("A refusal by a box that has no configuration yet shows none; any other one does", t, func() {
+	Convey("A refusal by a box without a configuration does not show that a version is in force; any other refusal does", t, func() {
 		b := &box{starts: 1}
 		refused, absent := answeredLookup(b), answeredLookup(b)
 		refused.probedVersion, absent.probedVersion = 2, 2
@@ -101,7 +101,7 @@
 		w.outcomes[0].body = `{"Code":"overloaded"}`
 		So(w.checkConfigurations(), ShouldHaveLength, 1)
 	})
-	Convey("A refusal that no line of the log tells of is found", t, func() {
+	Convey("A refusal that is missing in the log is found", t, func() {
 		b := &box{}
 		b.LogFile = filepath.Join(t.TempDir(), "box.log")
 		So(os.WriteFile(b.LogFile, []byte("Event=\"request refused\" Request=1 Code=overloaded\n"), 0o644), ShouldBeNil)
@@ -128,13 +128,13 @@
 		}
 		return runs
 	}
-	Convey("Sends after the third end count once boxes have had three seconds to tell each other", t, func() {
+	Convey("Sends count as late from three seconds after the third end on, the time that boxes have to inform each other", t, func() {
 		So(lateSends(runs(2)), ShouldEqual, 0)
 		So(lateSends(runs(6)), ShouldEqual, 0)
 		So(lateSends(runs(7)), ShouldEqual, 1)
 		So(lateSends(runs(10)), ShouldEqual, 4)
 	})
-	Convey("A request that ends a fourth engine is found, one that only runs there is none", t, func() {
+	Convey("A request that crashes a fourth engine is found; one that only runs there is not", t, func() {
 		ends := func(number int, path string, ended bool) standin.Run {
 			return standin.Run{Body: crashMarker, Server: fmt.Sprint("llm-", number), Target: "POST " + path, Crashed: ended, Began: at(float64(number)), Ended: at(float64(number))}
 		}
@@ -157,7 +157,7 @@
 	arrival := func(id string, after float64) standin.Arrival {
 		return standin.Arrival{ID: id, Server: "llm-1", At: at(after)}
 	}
-	Convey("A request sent to a server whose answer said that it leaves is found, also where its box was cut off", t, func() {
+	Convey("A request sent to a server whose response announced that it leaves is found, even if the box was cut off", t, func() {
 		leavingResponse := arrival("1", 0)
 		leavingResponse.Leaving = true
 		b.faultTimes = spans{{from: at(0.5), to: at(9)}}
@@ -170,7 +170,7 @@
 		So(w.checkSelfReports([]standin.Arrival{leavingResponse, arrival("2", 5)}), ShouldBeEmpty)
 		b.faultTimes = nil
 	})
-	Convey("So is one inside a rest, but for what was on its way, and where the answer may be lost", t, func() {
+	Convey("So is one sent during a rest, unless it was in flight or the refusal may have been lost", t, func() {
 		refused := arrival("1", 0)
 		refused.Refused, refused.RetryAfter = true, "3.0"
 		w := &world{outcomes: []outcome{sent("1", 0), sent("2", 2)}}
--- a/cmd/quaybench/soak/crash.go
+++ b/cmd/quaybench/soak/crash.go
@@ -19,21 +19,22 @@
 	"github.com/quaylead/quaylead/platform/standin"
 )
 
-// deadlyMark is in the bodies of requests that end the servers which run them.
+// crashMarker is part of the bodies of requests that crash the servers which run them.
 const crashMarker = "deadly"
 
 const (
-	// returnTime is how long after a server ended another one takes its place, and
-	// lapseTime how long its entry is listed.
+	// replacementDelay is how long after a crash another server takes the place of the
+	// crashed one, and entryTTL how long the crashed one's entry stays listed.
 	replacementDelay = time.Second
 	entryTTL         = 3 * time.Second
-	// contactBound is how long boxes that reach each other may take to know of an end,
-	// and moreSends how often the request may be sent after that; both are the users'.
+	// maxEndReportDelay is how long boxes that reach each other may take to share a crash,
+	// and maxLateSends how often the request may be sent after that. The users require both.
 	maxEndReportDelay = 3 * time.Second
 	maxLateSends      = 3
 )
 
-// replace has another server take the place of one that ended without a word.
+// replaceServer starts another server in place of a crashed one, which had not announced that
+// it leaves.
 func (w *world) replaceServer(s *server) error {
 	time.Sleep(replacementDelay)
 	if err := w.addServer(s.Service); err != nil {
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// sendDeadly sends one request, each time to some box or to all of them together, and with
-// another ID, until the time of the fault is over.
+// sendCrashing sends one crashing request repeatedly until the end of the fault, each time with
+// another ID and to a random box or to all boxes at once.
 func (w *world) sendCrashing(ctx context.Context, f crashingRequest, length time.Duration) {
 	rng := rand.New(rand.NewPCG(f.seed, 1))
 	route := routeNames[standin.Lookup]
@@ -83,7 +84,7 @@
 	}
 }
 
-// sendOnce sends a request and waits for its answer, which nobody misses.
+// sendOnce sends a request and waits for its response, which it discards.
 func sendOnce(b *box, call standin.CallerRequest, body string) {
 	request := call.Build()
 	defer fasthttp.ReleaseRequest(request)
@@ -99,13 +100,14 @@
 	if _, err := request.WriteTo(conn); err != nil {
 		return
 	}
-	// Whether an answer comes is judged by what ran.
+	// The check uses the recorded runs, so it does not matter whether a response comes.
 	_ = (&fasthttp.Response{}).Read(bufio.NewReader(conn))
 }
 
-// checkDeadly holds that a request ends three engines at most, and that one under which three
-// servers ended is sent to no more than three others, once boxes have had time to tell each
-// other. Boxes that were cut off or stood still meanwhile count for themselves.
+// checkCrashes checks that a request crashes at most three engines, and that after three crashes
+// it is sent to at most three more servers once the boxes have had time to share the crashes.
+// Requests during which a box was cut off or suspended are not checked, as such a box counts
+// crashes on its own.
 func (w *world) checkCrashes() (violations []string) {
 	byBody := map[string][]standin.Run{}
 	for _, run := range w.truth.AllRuns() {
@@ -119,7 +121,7 @@
 			continue
 		}
 		if ended := crashedEngines(runs); ended > quarantine.MaxEnds {
-			violations = append(violations, fmt.Sprintf("%q ended %d engines", body, ended))
+			violations = append(violations, fmt.Sprintf("%q crashed %d engines", body, ended))
 		}
 		if late := lateSends(runs); late > maxLateSends {
 			violations = append(violations, fmt.Sprintf("%q was sent to %d servers, %d of them long after three had ended", body, len(runs), late))
@@ -128,8 +130,8 @@
 	return violations
 }
 
-// enginesEnded counts the engines that some runs ended. Plain servers are not counted: no box
-// decides for all there.
+// crashedEngines counts the engines that some runs crashed. Plain servers are not counted, since
+// no single box dispatches the requests for them.
 func crashedEngines(runs []standin.Run) int {
 	ended := map[string]bool{}
 	for _, run := range runs {
@@ -140,7 +142,7 @@
 	return len(ended)
 }
 
-// sentLate counts the runs that began later than the bound after the third end.
+// lateSends counts the runs that began more than maxEndReportDelay after the third end.
 func lateSends(runs []standin.Run) (count int) {
 	ended := slices.DeleteFunc(slices.Clone(runs), func(run standin.Run) bool { return run.Ended.IsZero() })
 	slices.SortFunc(ended, func(a, b standin.Run) int { return cmp.Compare(a.Ended.UnixNano(), b.Ended.UnixNano()) })
@@ -156,8 +158,8 @@
 	return count
 }
 
-// boxTroubleDuring tells of a box that may not have been in touch at some time. The lock is
-// held.
+// anyBoxFault reports whether some box may have been cut off at some time between from and to.
+// The caller holds the lock.
 func (w *world) anyBoxFault(from, to time.Time) bool {
 	return slices.ContainsFunc(w.boxes, func(b *box) bool { return b.faultTimes.overlaps(from, to) })
 }
--- a/cmd/quaybench/soak/faults.go
+++ b/cmd/quaybench/soak/faults.go
@@ -16,84 +16,88 @@
 	"github.com/quaylead/quaylead/platform/standin"
 )
 
-// injection is one of killed, paused, stopped, hungUp, linkFault, storeFault,
-// forgotten, restored, serverFault, leaving, departing, vanishing, blackout, configured and deadly.
+// injection is a fault that inject can carry out.
 type injection interface {
 	fmt.Stringer
 	injection()
 }
 
-// killed ends processes at once; they start again after the fault's time.
+// killed kills processes; they start again at the end of the fault.
 type killed struct{ boxes []*box }
 
-// paused stops a process in its tracks for a time.
+// paused suspends a process for the duration of the fault.
 type paused struct{ box *box }
 
-// stopped ends a process as planned, and starts it again.
+// stopped stops a process as planned and starts it again.
 type stopped struct{ box *box }
 
-// hungUp has a process read its settings again.
+// reloaded sends a process SIGHUP, on which it reads its settings again.
 type reloaded struct{ box *box }
 
-// linkFault is one of a proxy: of the way from a box to the store, or from all
-// boxes to a server.
+// linkFault is a fault of a proxy, either between a box and the store or between all boxes
+// and a server.
 type linkFault struct {
 	link string
-	// box is set for its way to the store.
+	// box is set for a link from this box to the store.
 	box         *box
 	description string
-	toxic       fault.Toxic
+	// toxic is the fault of the proxy; without a Type the link is cut.
+	toxic fault.Toxic
 }
 
-// storeFault is one of the store itself.
+// storeFault is a fault of the store itself.
 type storeFault struct {
 	description string
 	fault       standin.StoreFault
 }
 
-// forgotten has the store forget its history.
+// historyLost makes the store forget its history of changes.
 type historyLost struct{}
 
-// restored takes the store away for a moment, and brings it back from a copy as old as the
-// fault's time. What servers and the operator had written since is written again.
+// storeRestored makes the store unavailable for the time of outage and then restores it from a
+// snapshot, which is as old as the duration of the fault. After rewriteDelay the servers and
+// the operator repeat the writes that were lost.
 type storeRestored struct{ outage, rewriteDelay time.Duration }
 
-// serverFault is one of a server itself.
+// serverFault is a fault of a server itself.
 type serverFault struct {
 	server      *server
 	description string
 	fault       standin.ServerFault
 }
 
-// leaving takes a server away as planned, after another one came.
+// serverLeaves makes a server leave as planned, after another one was added.
 type serverLeaves struct{ server *server }
 
-// departing takes a server away that says so in its answers alone, after another one came:
-// its row stays as it was.
+// serverLeavesByResponses makes a server leave that announces it only in its responses, after
+// another one was added. Its entry in the store stays as it was.
 type serverLeavesByResponses struct{ server *server }
 
-// vanishing takes a server away without a word, after another one came: its row goes, and it serves on.
+// entryRemoved removes the entry of a server that did not announce that it leaves, after another
+// one was added. The server serves on.
 type entryRemoved struct{ server *server }
 
-// blackout ends all boxes in one moment. While they return the store is slow, and a server vanishes.
+// allBoxesKilled kills all boxes at once. While they start again, the store is slow and the entry
+// of a server is removed.
 type allBoxesKilled struct {
 	server *server
-	// slow is the store's delay, and vanishes when the server does, from the return on.
+	// storeDelay is the delay of the store. entryRemovedAfter is the time from the start of
+	// the boxes until the entry is removed.
 	storeDelay, entryRemovedAfter time.Duration
 }
 
-// configured has a new configuration accepted.
+// reconfigured writes a new configuration.
 type reconfigured struct{}
 
-// deadly has one request come again and again, to any box, that ends the servers of a
+// crashingRequest sends one request repeatedly, to any box, that crashes the servers of a
 // service which run it.
 type crashingRequest struct {
 	service string
 	number  int
-	// pause is the longest time between two.
+	// maxPause bounds the time between two sends.
 	maxPause time.Duration
 	seed     uint64
-	// together has it come to all boxes at once each time.
+	// allBoxes sends it to all boxes at once each time.
 	allBoxes bool
 }
 
@@ -113,31 +117,34 @@
 func (reconfigured) injection()            {}
 func (crashingRequest) injection()         {}
 
-// String names the fault for the log of a run.
+// String describes the fault for the progress lines of a run.
 func (f killed) String() string {
 	return fmt.Sprintf("%d boxes killed, %s first", len(f.boxes), f.boxes[0].Name)
 }
 func (f paused) String() string      { return f.box.Name + " paused" }
 func (f stopped) String() string     { return f.box.Name + " stopped as planned" }
-func (f reloaded) String() string    { return f.box.Name + " told to read its settings" }
+func (f reloaded) String() string    { return f.box.Name + " reloads its settings" }
 func (f linkFault) String() string   { return f.link + " " + f.description }
 func (f storeFault) String() string  { return "store " + f.description }
 func (f historyLost) String() string { return "store forgets its history" }
 func (f storeRestored) String() string {
-	return fmt.Sprintf("store restored from a copy, away for %s, written again within %s", f.outage, f.rewriteDelay)
+	return fmt.Sprintf("store restored from a snapshot after an outage of %s, lost writes repeated after %s", f.outage, f.rewriteDelay)
 }
-func (f serverFault) String() string             { return f.server.ID + " " + f.description }
-func (f serverLeaves) String() string            { return f.server.ID + " leaves" }
-func (f serverLeavesByResponses) String() string { return f.server.ID + " leaves by its answers" }
-func (f entryRemoved) String() string            { return f.server.ID + " leaves without a word" }
+func (f serverFault) String() string  { return f.server.ID + " " + f.description }
+func (f serverLeaves) String() string { return f.server.ID + " leaves" }
+func (f serverLeavesByResponses) String() string {
+	return f.server.ID + " announces in its responses that it leaves"
+}
+func (f entryRemoved) String() string { return f.server.ID + " leaves unannounced" }
 func (f allBoxesKilled) String() string {
-	return fmt.Sprintf("all boxes killed, the store slow by %s, %s leaves without a word %s after", f.storeDelay, f.server.ID, f.entryRemovedAfter)
+	return fmt.Sprintf("all boxes killed, the store slow by %s, %s leaves unannounced %s after", f.storeDelay, f.server.ID, f.entryRemovedAfter)
 }
 func (f reconfigured) String() string { return "a new configuration" }
 func (f crashingRequest) String() string {
-	return fmt.Sprintf("a request that ends servers of %s, again within %s each time, at all boxes at once: %t", f.service, f.maxPause, f.allBoxes)
+	return fmt.Sprintf("a request that crashes servers of %s, repeated within %s, at all boxes at once: %t", f.service, f.maxPause, f.allBoxes)
 }
 
+// drawFault returns a random fault of a random box, server or of the store.
 func drawFault(rng *rand.Rand, w *world) injection {
 	b := w.boxes[rng.IntN(len(w.boxes))]
 	s := w.drawServer(rng)
@@ -246,6 +253,7 @@
 	}
 }
 
+// drawServer returns a random server that has not left.
 func (w *world) drawServer(rng *rand.Rand) *server {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -256,7 +264,7 @@
 	}
 }
 
-// play begins a fault, waits, and ends it, also when the context has ended.
+// inject begins a fault, waits for its duration and ends it, even if the context ends meanwhile.
 func inject(ctx context.Context, w *world, f injection, length time.Duration) error {
 	switch f := f.(type) {
 	case killed:
@@ -312,6 +320,8 @@
 	return nil
 }
 
+// restore makes the store unavailable, restores it from a snapshot and later repeats the lost
+// writes.
 func (w *world) restore(ctx context.Context, f storeRestored, age time.Duration) {
 	snapshot := w.store.Snapshot()
 	_ = interval.Wait(ctx, age)
@@ -324,7 +334,7 @@
 	w.store.RewriteMissing()
 }
 
-// rewrittenIn is how long what is written again may take to be known.
+// rewriteSettleDelay is how long boxes may take to read rows that were written again.
 const rewriteSettleDelay = 2 * time.Second
 
 func (w *world) breakLink(ctx context.Context, f linkFault, length time.Duration) error {
@@ -339,8 +349,8 @@
 	return w.grid.Heal(f.link)
 }
 
-// alreadyBroken passes over a fault of a link that has one of its kind: that one
-// goes on.
+// reportSkipped reports a link fault that was skipped because the link already has one of the
+// same kind, which goes on.
 func (w *world) reportSkipped(f linkFault, err error) error {
 	fmt.Fprintf(w.soak.Progress, "        %s not broken again: %v\n", f.link, err)
 	return nil
@@ -366,7 +376,7 @@
 	return b.Continue()
 }
 
-// stopAsPlanned ends a process with its time for that, and starts it again.
+// stopAsPlanned terminates a process, waits for it to finish its requests, and starts it again.
 func (b *box) stopAsPlanned() error {
 	b.processMu.Lock()
 	defer b.processMu.Unlock()
@@ -380,7 +390,8 @@
 	return b.start()
 }
 
-// takeAway lets a server leave: it says so, serves on, and ends.
+// leaveAsPlanned marks the entry of a server as leaving, after another one was added, and removes
+// the entry after leavingEntryTTL. A server that has already left is skipped.
 func (w *world) leaveAsPlanned(ctx context.Context, s *server) error {
 	if err := w.addServer(s.Service); err != nil {
 		return err
@@ -402,7 +413,7 @@
 	return nil
 }
 
-// vanish takes the entry of a server away, which serves on.
+// removeEntry removes the entry of a server, which serves on, after another one was added.
 func (w *world) removeEntry(s *server) error {
 	if err := w.addServer(s.Service); err != nil {
 		return err
@@ -416,6 +427,8 @@
 	return nil
 }
 
+// killAllBoxes kills all boxes, and slows the store down and removes the entry of a server while
+// they start again.
 func (w *world) killAllBoxes(ctx context.Context, f allBoxesKilled, length time.Duration) error {
 	group := errgroup.Group{}
 	for _, b := range w.boxes {
@@ -431,6 +444,6 @@
 	return errors.Join(err, group.Wait())
 }
 
-// leavingTime is how long a leaving server's entry stays; it serves on until the
-// end of the run, so that work sent to it all the same is seen.
+// leavingEntryTTL is how long the entry of a leaving server stays. The server serves on until
+// the end of the run, so that wrongly sent work is recorded.
 const leavingEntryTTL = 3 * time.Second
--- a/cmd/quaybench/soak/selfreport.go
+++ b/cmd/quaybench/soak/selfreport.go
@@ -8,12 +8,12 @@
 	"github.com/quaylead/quaylead/platform/standin"
 )
 
-// onTheWay is the time in which what a box sent before it read a word may arrive: the
-// users' half a second.
+// inFlightDelay is how long after a refusal requests that the box sent before it read the
+// refusal may still arrive. The users allow half a second.
 const inFlightDelay = 500 * time.Millisecond
 
-// depart lets a server leave that says so in its answers alone. It serves on until the end
-// of the run, so that work sent to it all the same is seen.
+// leaveByResponses makes a server leave that announces it only in its responses. It serves on
+// until the end of the run, so that wrongly sent work is recorded.
 func (w *world) leaveByResponses(s *server) error {
 	if err := w.addServer(s.Service); err != nil {
 		return err
@@ -22,22 +22,22 @@
 	return nil
 }
 
-// boxLife is one life of a box.
+// boxIncarnation is one process of a box, from one start to the next.
 type boxIncarnation struct {
 	box         *box
 	incarnation int
 }
 
-// word is what a server said to one life of a box.
+// boxServer is one process of a box together with a server that sent it a response.
 type boxServer struct {
 	boxIncarnation
 	server string
 }
 
-// checkWords holds that no box sends to a server against its word: to none that said in an
-// answer which the box passed on that it leaves, in touch or not, and to none that turned it
-// away until the rest that it asked for is over, but where the answer may have been lost on
-// the way.
+// checkSelfReports checks that boxes follow what servers report in their responses. After a
+// response that announced that the server leaves, and that the box relayed, the box must not
+// send to this server again, even while it is cut off. After a refusal it must not send until
+// the rest that the server asked for is over, unless the refusal may have been lost.
 func (w *world) checkSelfReports(arrivals []standin.Arrival) (violations []string) {
 	byID := map[string]*outcome{}
 	for i := range w.outcomes {
@@ -55,7 +55,7 @@
 		}
 		key := boxServer{boxIncarnation{o.box, o.incarnation}, arrival.Server}
 		if at, said := left[key]; said && o.sent.After(at) {
-			violations = append(violations, o.describe(fmt.Sprintf("it was sent to %s, %s after an answer had said that it leaves", arrival.Server, o.sent.Sub(at))))
+			violations = append(violations, o.describe(fmt.Sprintf("it was sent to %s, %s after a response had announced that it leaves", arrival.Server, o.sent.Sub(at))))
 		}
 		if rest := rests[key]; arrival.At.After(rest.from.Add(inFlightDelay)) && arrival.At.Before(rest.to) && !w.mayHaveLostResponse(o.box, rest.from, arrival.At) {
 			violations = append(violations, o.describe(fmt.Sprintf("it was sent to %s, %s into a rest of %s", arrival.Server, arrival.At.Sub(rest.from), rest.to.Sub(rest.from))))
@@ -70,12 +70,14 @@
 	return violations
 }
 
-// mayBeLost tells whether an answer of a server may not have reached a box. The lock is held.
+// mayHaveLostResponse reports whether a response of a server may not have reached a box. The
+// caller holds the lock.
 func (w *world) mayHaveLostResponse(b *box, from, to time.Time) bool {
 	return w.linkFaultTimes.overlaps(from, to) || b.faultTimes.overlaps(from, to)
 }
 
-// restOf is until when a server asked for rest; zero where it did not.
+// restEnd returns the end of the rest (Retry-After) that a server asked for; zero if it did not
+// ask.
 func restEnd(arrival standin.Arrival) time.Time {
 	seconds, err := strconv.ParseFloat(arrival.RetryAfter, 64)
 	if err != nil || !arrival.Refused {
--- a/cmd/quaybench/soak/soak.go
+++ b/cmd/quaybench/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs the router's real program as separate processes among
-// stand-ins of the platform, breaks them from outside by the draw of a seed, and
-// checks meanwhile what callers and endpoints see.
+// Package soak runs the real router program as separate processes among stand-ins of the
+// platform, injects faults from outside that are drawn from a seed, and checks what callers
+// and endpoints observed.
 package soak
 
 import (
@@ -18,41 +18,43 @@
 
 // Soak is one run. Its exported fields are set before Run.
 type Soak struct {
-	// Bin is the folder of the programs, Dir that of logs and settings.
+	// Bin is the folder of the programs, Dir that of the logs and settings.
 	Bin, Dir string
-	// Seed draws the faults, their moments and the callers' requests.
+	// Seed determines the faults, their times and the callers' requests.
 	Seed uint64
-	// Length is the time in which faults begin; the last ones are ended and a calm
-	// time follows.
+	// Length is the period in which faults begin. The run waits for the last faults to
+	// end, and then for a period without faults.
 	Length time.Duration
-	// Boxes is the number of routers, Callers that of callers.
+	// Boxes is the number of routers, Callers the number of callers.
 	Boxes, Callers int
-	// Progress takes a line for each fault.
+	// Progress receives a line for each fault.
 	Progress io.Writer
 }
 
-// Verdict is what a run found.
+// Verdict is the result of a run.
 type Verdict struct {
-	// Requests were sent, and Answered got a whole answer with status 200.
+	// Requests counts the requests that were sent, Answered those of them that got a
+	// complete response with status 200.
 	Requests, Answered int
 	Faults             int
-	// Broken are the promises that were not kept, a line each.
+	// Violations are the guarantees that were not kept, one line each.
 	Violations []string
 }
 
-// The times of a run.
+// The periods of a run.
 const (
-	// gapMost is the longest time between two faults; several overlap, as each
-	// lasts up to faultMost.
+	// maxFaultGap bounds the time between the starts of two faults. Faults overlap, as
+	// each lasts up to maxFaultDuration.
 	maxFaultGap      = 1500 * time.Millisecond
 	maxFaultDuration = 4 * time.Second
-	// calmTime follows the last fault. Service has to be back in its second half.
+	// calmPeriod follows the last fault. In its second half, requests have to be served
+	// again.
 	calmPeriod = 12 * time.Second
 )
 
-// Run plays the run to its end.
+// Run executes the whole run.
 func (s *Soak) Run(ctx context.Context) (verdict Verdict, err error) {
-	defer func() { err = trace.Wrap(err, "soaking with seed %d", s.Seed) }()
+	defer func() { err = trace.Wrap(err, "soak run with seed %d", s.Seed) }()
 	w, err := newWorld(s)
 	if err != nil {
 		return verdict, err
@@ -78,14 +80,14 @@
 	_ = interval.Wait(ctx, calmPeriod)
 	stopCalling()
 	_ = callers.Wait()
-	// What was answered as not run may still run later.
+	// A request that was reported as not run may still run wrongly a little later.
 	_ = interval.Wait(ctx, time.Second)
 	verdict.Requests, verdict.Answered = w.countOutcomes()
 	verdict.Violations = w.check(calmFrom.Add(calmPeriod / 2))
 	return verdict, ctx.Err()
 }
 
-// breakThings begins faults at drawn moments and waits for the last to end.
+// injectFaults starts faults at random times and waits for the last one to end.
 func (s *Soak) injectFaults(ctx context.Context, w *world) (count int, err error) {
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	faults := errgroup.Group{}
@@ -98,7 +100,7 @@
 		length := time.Duration((0.1 + 0.9*rng.Float64()) * float64(maxFaultDuration))
 		fmt.Fprintf(s.Progress, "%7.3f %s for %s\n", time.Since(began).Seconds(), f, length.Round(time.Millisecond))
 		count++
-		faults.Go(func() error { return trace.Wrap(inject(ctx, w, f, length), "playing %s", f) })
+		faults.Go(func() error { return trace.Wrap(inject(ctx, w, f, length), "injecting %s", f) })
 	}
 	return count, faults.Wait()
 }
--- a/cmd/quaybench/soak/soak_test.go
+++ b/cmd/quaybench/soak/soak_test.go
@@ -10,9 +10,9 @@
 	"github.com/quaylead/quaylead/cmd/quaybench/soak"
 )
 
-// TestShortSoak is one short run; `quaybench soak` runs longer ones.
+// TestShortSoak runs the soak for a short time; `quaybench soak` runs longer ones.
 func TestShortSoak(t *testing.T) {
-	Convey("A fleet of processes keeps its promises through some seconds of faults", t, func() {
+	Convey("A fleet of processes keeps its guarantees through some seconds of faults", t, func() {
 		bin, err := filepath.Abs("../../../bin/test")
 		So(err, ShouldBeNil)
 		run := &soak.Soak{
--- a/cmd/quaybench/soak/world.go
+++ b/cmd/quaybench/soak/world.go
@@ -20,7 +20,8 @@
 	"github.com/quaylead/quaylead/platform/standin"
 )
 
-// world is a fleet of boxes, and all around it.
+// world is a fleet of boxes with everything that it runs against: the store, the servers and
+// the proxies between them.
 type world struct {
 	soak  *Soak
 	truth *standin.Truth
@@ -31,15 +32,15 @@
 
 	mu      sync.Mutex
 	servers []*server
-	// made counts the servers so far, for their names.
+	// serverCount counts the servers started so far, for their IDs.
 	serverCount int
 	version     int
-	// accepted is when each version of the configuration was accepted.
+	// acceptedAt is when each version of the configuration was written.
 	acceptedAt map[int]time.Time
 	outcomes   []outcome
-	// troubles are when something that all boxes share may have been out of order.
+	// sharedFaultTimes are the times of faults that affect all boxes.
 	sharedFaultTimes spans
-	// linkTroubles are when the way to some server may have been broken.
+	// linkFaultTimes are the times of faults of the connections to some server.
 	linkFaultTimes spans
 }
 
@@ -49,22 +50,22 @@
 	callerAddress, readyAddress string
 
 	mu sync.Mutex
-	// lives counts its starts.
+	// starts counts the starts of the process.
 	starts int
-	// troubles are when it may have been out of order; planned stops are none.
+	// faultTimes are the times of faults of this box. Planned stops are not faults.
 	faultTimes spans
 	// stops are its planned stops.
 	stops []stop
-	// signals serializes what is done to the process.
+	// processMu serializes signals to the process, and its starts.
 	processMu sync.Mutex
 }
 
-// server is one stand-in of an endpoint, behind a proxy.
+// server is a stand-in of an endpoint behind a proxy.
 type server struct {
 	*standin.Server
-	// reached is the proxy's address.
+	// proxyAddress is the address at which boxes reach it.
 	proxyAddress string
-	// left is when it said that it leaves; zero before.
+	// leftAt is when its entry was marked as leaving or was removed; zero before.
 	leftAt time.Time
 }
 
@@ -72,7 +73,7 @@
 	engines      = 4
 	plainServers = 3
 	engineSlots  = 32
-	// longestStop is the time that a planned stop may take.
+	// maxStopDuration bounds the duration of a planned stop.
 	maxStopDuration = 6 * time.Second
 )
 
@@ -132,9 +133,8 @@
 	return w.store.Register(s.Server, s.proxyAddress, false)
 }
 
-// accept has the operator accept a new configuration. Each version has a route of
-// its own, and those of the versions before it, so that callers can tell which is
-// in force.
+// writeConfiguration writes a new configuration. Each version adds a route of its own to those
+// of the earlier versions, so that callers can find out which version is in force.
 func (w *world) writeConfiguration() error {
 	w.mu.Lock()
 	w.version++
@@ -171,7 +171,7 @@
 	return err
 }
 
-// addBox starts a router, whose way to the store is through a proxy.
+// addBox starts a router that reaches the store through a proxy.
 func (w *world) addBox(name string) error {
 	var addresses [3]string
 	for i := range addresses {
@@ -207,26 +207,28 @@
 	return b.start()
 }
 
+// storeLink returns the name of the proxy between a box and the store.
 func storeLink(box string) string { return box + ">store" }
 
-// stop is a planned stop of one life of a box.
+// stop is a planned stop of one process of a box.
 type stop struct {
 	incarnation int
 	began       time.Time
 }
 
-// span is a time, and spans are several.
+// span is a period of time, and spans is a set of periods.
 type (
 	span  struct{ from, to time.Time }
 	spans []span
 )
 
-// touch tells whether any of them overlaps another time.
+// overlaps reports whether any of the periods overlaps another one.
 func (s spans) overlaps(from, to time.Time) bool {
 	return slices.ContainsFunc(s, func(one span) bool { return one.from.Before(to) && from.Before(one.to) })
 }
 
-// lastEnd is the end of the last span that began before a time; from where none ends later.
+// lastEnd returns the latest end of the periods that began before a time; from if none of them
+// ends later.
 func (s spans) lastEnd(from, before time.Time) time.Time {
 	for _, one := range s {
 		if one.from.Before(before) && one.to.After(from) {
@@ -236,7 +238,7 @@
 	return from
 }
 
-// start starts the process; it may be out of order until it has caught up.
+// start starts the process. A start counts as a fault, as the box has to catch up first.
 func (b *box) start() error {
 	b.mu.Lock()
 	b.starts++
@@ -245,11 +247,11 @@
 	return b.Start()
 }
 
-// settleTime is how long after the end of a fault nothing is judged by time: a
-// box has to find its peers again and read what it missed.
+// settleDelay is how long after the end of a fault the checks still allow delays: a box has to
+// reconnect to its peers and read what it missed.
 const settleDelay = 4 * time.Second
 
-// trouble notes a fault of a box that begins now, and the time after it.
+// recordFault records a fault of the box that begins now, together with the settleDelay after it.
 func (b *box) recordFault(length time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -257,14 +259,14 @@
 	b.faultTimes = append(b.faultTimes, span{from: now, to: now.Add(length + settleDelay)})
 }
 
-// life is the number of the process's start.
+// incarnation returns the number of the current process, counted from 1.
 func (b *box) incarnation() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.starts
 }
 
-// trouble notes a fault of what all boxes share.
+// recordSharedFault records a fault that affects all boxes and begins now.
 func (w *world) recordSharedFault(length time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -272,7 +274,7 @@
 	w.sharedFaultTimes = append(w.sharedFaultTimes, span{from: now, to: now.Add(length + settleDelay)})
 }
 
-// linkTrouble notes that the way to a server is broken for a time.
+// recordLinkFault records a fault of the connections to a server that begins now.
 func (w *world) recordLinkFault(length time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -295,7 +297,7 @@
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// close ends what the soak started.
+// close ends everything that the run started.
 func (w *world) close() {
 	for _, b := range w.boxes {
 		b.processMu.Lock()
@@ -310,6 +312,6 @@
 	}
 	w.store.Close()
 	w.grid.Close()
-	// What served until now ends with an error that says so.
+	// Serve functions return an error when their listener is closed.
 	_ = w.group.Wait()
 }
