--- a/cmd/quayctl/cmds/boxes.go
+++ b/cmd/quayctl/cmds/boxes.go
@@ -15,12 +15,12 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// askTimeout bounds one call to a box.
+// boxTimeout bounds one call to a box.
 const boxTimeout = 3 * time.Second
 
-// askStatus reads a box's own account.
+// fetchStatus reads the status of a box.
 func fetchStatus(address string) (status router.Status, err error) {
-	defer func() { err = trace.Wrap(err, "asking the box at %s", address) }()
+	defer func() { err = trace.Wrap(err, "reading the status of the box at %s", address) }()
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/status", boxTimeout)
 	if err != nil {
 		return status, err
@@ -31,7 +31,8 @@
 	return status, json.Unmarshal(body, &status)
 }
 
-// repository reaches the platform as a box does, or at the address given.
+// repository returns the repository of settings on the platform. The platform is the one at the
+// address of --platform, or else the one that the box reports.
 func (o *options) repository() (repository revision.Repository, err error) {
 	store := settings.DefaultBox().Platform
 	store.Address = o.platformAddress
@@ -48,13 +49,13 @@
 	return revision.Repository{Store: &platform.Store{Settings: store}}, nil
 }
 
-// look asks a box to look at accepted settings now. A box that does not answer
-// finds them by itself a little later.
+// requestHeadCheck makes a box read the accepted settings now. Failures are ignored, as a box
+// also reads them by itself a little later.
 func (o *options) requestHeadCheck() {
 	_, _, _ = fasthttp.GetTimeout(nil, "http://"+o.box+"/look", boxTimeout)
 }
 
-// boxRow is a box as `status` shows it.
+// boxRow is one row of the output of `quayctl status`.
 type boxRow struct {
 	Box          string
 	Zone         string
@@ -63,11 +64,11 @@
 	InForceSince time.Time
 	Stopping     bool
 	InFlight     int64
-	// Fault says why the box did not answer; empty when it did.
+	// Fault is why the box did not answer; empty if it did.
 	Fault string `json:",omitempty"`
 }
 
-// allBoxes asks every box that one box knows of.
+// allBoxes reads the status of a box and of every other box that it lists as a member.
 func (o *options) allBoxes() (rows []boxRow, err error) {
 	first, err := fetchStatus(o.box)
 	if err != nil {
@@ -157,10 +158,10 @@
 	request := &fasthttp.Request{}
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI("http://" + address + "/drain")
-	return trace.Wrap(fasthttp.DoTimeout(request, &fasthttp.Response{}, boxTimeout), "asking for a planned stop")
+	return trace.Wrap(fasthttp.DoTimeout(request, &fasthttp.Response{}, boxTimeout), "requesting a planned stop")
 }
 
-// drainEndpoint marks every endpoint of the name as leaving.
+// drainEndpoint marks every endpoint of this name as leaving, by a new revision of the settings.
 func (o *options) drainEndpoint(command *cobra.Command, name string) error {
 	repository, err := o.repository()
 	if err != nil {
--- a/cmd/quayctl/cmds/commands.go
+++ b/cmd/quayctl/cmds/commands.go
@@ -25,12 +25,12 @@
 	statusUsage       = 64
 )
 
-// usageError reports a command line that makes no sense.
+// usageError reports an invalid command line.
 type usageError struct {
 	Message string
 }
 
-// Error gives the message.
+// Error returns the message.
 func (e *usageError) Error() string { return e.Message }
 
 // Execute runs the command line and returns the exit status.
@@ -68,7 +68,7 @@
 	}
 }
 
-// userMessage leaves out what only developers need.
+// userMessage returns the text of an error without the trace that only developers need.
 func userMessage(err error) string {
 	var invalid *settings.InvalidError
 	if errors.As(err, &invalid) {
@@ -81,13 +81,13 @@
 	return err.Error()
 }
 
-// options are what every command takes.
+// options are the flags that every command has.
 type options struct {
 	// box is the operator address of any box.
 	box string
-	// platformAddress is used in place of the one that the box tells.
+	// platformAddress replaces the address that the box reports.
 	platformAddress string
-	// output is table or json.
+	// output is "table" or "json".
 	output string
 	author string
 }
@@ -101,7 +101,7 @@
 		Long: "Check and apply settings, show and drain boxes.\n\n" +
 			"Exit statuses: 0 done, 1 failed, 2 the settings are invalid, 3 another\n" +
 			"acceptance came first, 4 it is not known whether the settings were accepted,\n" +
-			"5 the store is unavailable, 64 the command line makes no sense.",
+			"5 the store is unavailable, 64 the command line is invalid.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(command *cobra.Command, args []string) error {
@@ -116,9 +116,9 @@
 	})
 	flags := root.PersistentFlags()
 	flags.StringVar(&opts.box, "box", "127.0.0.1:8081", "the operator address of any box")
-	flags.StringVar(&opts.platformAddress, "platform", "", "the platform's address, if no box is to be asked for it")
+	flags.StringVar(&opts.platformAddress, "platform", "", "the platform's address; by default the box is asked for it")
 	flags.StringVar(&opts.output, "output", "table", "table or json")
-	flags.StringVar(&opts.author, "author", defaultAuthor(), "who makes a change, for the history")
+	flags.StringVar(&opts.author, "author", defaultAuthor(), "the author of a change, for the history")
 	root.AddCommand(
 		checkCommand(opts),
 		planCommand(opts),
@@ -141,7 +141,7 @@
 	return "unknown"
 }
 
-// exactArgs is cobra.ExactArgs with a usage error.
+// exactArgs is like cobra.ExactArgs, but returns a usageError.
 func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if len(args) != count {
--- a/cmd/quayctl/cmds/losses.go
+++ b/cmd/quayctl/cmds/losses.go
@@ -14,26 +14,26 @@
 	"github.com/quaylead/quaylead/pkg/loss"
 )
 
-// lossesOptions are those of quayctl losses.
+// lossesOptions are the flags of quayctl losses.
 type lossesOptions struct {
-	// request is the ID whose lines are printed; empty prints the tables.
+	// request is the ID of the request whose lines are printed; if empty, the tables are printed.
 	request string
-	// most is the number of rows of a table.
+	// maxRows bounds the rows of each table.
 	maxRows int
 }
 
-// defaultRows fit a screen, with five tables.
+// defaultRows is chosen so that the five tables fit on a screen.
 const defaultRows = 12
 
 func lossesCommand() *cobra.Command {
 	options := lossesOptions{}
 	command := &cobra.Command{
 		Use:   "losses [LOG...]",
-		Short: "Tell from boxes' logs which requests were not served well, and why",
+		Short: "Show from boxes' logs which requests were not served well, and why",
 		Long: `Losses reads the logs of boxes, from files or from standard input, and prints how many
 requests were refused, late, cut or failed, by cause, customer, route, endpoint and
 second. With --request it prints all lines of one request, in order, of all boxes.
-Lines that are none of a box's log are counted and passed over.`,
+Lines that are not from a box's log are counted and skipped.`,
 		RunE: func(command *cobra.Command, files []string) error {
 			return options.run(command.OutOrStdout(), command.InOrStdin(), files)
 		},
@@ -67,7 +67,8 @@
 	return err
 }
 
-// readLogs reads files, each named like the box that wrote it, or standard input.
+// readLogs reads log files, each of which is named after its box, or standard input if there are
+// none. It returns the number of lines that it could not parse.
 func readLogs(in io.Reader, files []string, add func(loss.Line)) (badLines int, err error) {
 	if len(files) == 0 {
 		return loss.Read(in, "", add)
--- a/cmd/quayctl/cmds/print.go
+++ b/cmd/quayctl/cmds/print.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// table writes rows in columns.
+// table writes rows as aligned columns.
 type table struct {
 	writer *tabwriter.Writer
 }
@@ -18,7 +18,7 @@
 	fmt.Fprintln(t.writer, strings.Join(cells, "\t"))
 }
 
-// print writes a value as JSON or, by fill, as a table.
+// print writes a value as JSON, or as the table that writeRows writes.
 func (o *options) print(command *cobra.Command, value any, writeRows func(out *table)) error {
 	if o.output == "json" {
 		encoder := json.NewEncoder(command.OutOrStdout())
--- a/cmd/quayctl/cmds/settings.go
+++ b/cmd/quayctl/cmds/settings.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// acceptedFleet reads the accepted settings; nil when there are none.
+// acceptedFleet reads the accepted settings; fleet is nil if there are none.
 func acceptedFleet(repository revision.Repository) (head revision.Head, fleet *settings.Fleet, err error) {
 	head, _, err = repository.Head()
 	if err != nil || head.Revision == 0 {
@@ -82,11 +82,12 @@
 	return settings.DecodeSnapshot(snapshot)
 }
 
-// acceptTimeout bounds the tries to learn what a failing store accepted.
+// acceptTimeout bounds the retries by which the outcome of a write is found out when the store
+// fails.
 const acceptTimeout = 15 * time.Second
 
-// accept makes settings the next revision. A conflict names the paths in which
-// the revision that came first differs from these settings.
+// accept writes settings as the revision that follows baseRevision. On a conflict it prints the
+// paths in which the revision that was accepted first differs from these settings.
 func (o *options) accept(command *cobra.Command, repository revision.Repository, fleet *settings.Fleet, baseRevision uint64, message string) error {
 	head, err := repository.Accept(revision.Proposal{
 		Fleet:    fleet,
@@ -112,6 +113,7 @@
 	})
 }
 
+// explainConflict prints how the settings differ from the revision that was accepted first.
 func (o *options) explainConflict(command *cobra.Command, repository revision.Repository, fleet *settings.Fleet, conflict *revision.ConflictError) error {
 	if conflict.Found.Revision == 0 {
 		return conflict
@@ -134,7 +136,7 @@
 	)
 	command := &cobra.Command{
 		Use:   "apply TREE",
-		Short: "Have a tree accepted as the fleet's settings",
+		Short: "Apply a tree as the fleet's settings",
 		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			fleet, err := settings.LoadFleet(args[0])
@@ -169,14 +171,14 @@
 }
 
 const (
-	// waitTimeout bounds the wait for settings to be in force.
+	// waitTimeout bounds the wait until settings are in force.
 	waitTimeout = 30 * time.Second
-	// waitInterval is the time between two looks.
+	// waitInterval is the interval at which the boxes are asked.
 	waitInterval = 100 * time.Millisecond
 )
 
-// awaitInForce returns when every live box has the revision in force, and
-// otherwise says which have not.
+// awaitInForce waits until the revision is in force on every live box. After waitTimeout it
+// returns an error that names the boxes on which it is not.
 func (o *options) awaitInForce(command *cobra.Command, number uint64) error {
 	deadline := time.Now().Add(waitTimeout)
 	for {
@@ -209,7 +211,7 @@
 	var count uint64
 	command := &cobra.Command{
 		Use:   "history",
-		Short: "Show who had which settings accepted, newest first",
+		Short: "Show the accepted revisions and their authors, newest first",
 		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, args []string) error {
 			repository, err := opts.repository()
@@ -240,7 +242,7 @@
 	return command
 }
 
-// entryOf reads a revision's entry; 0 means the accepted one.
+// entryOf reads the history entry of a revision; 0 means the accepted one.
 func entryOf(repository revision.Repository, number uint64) (revision.Head, error) {
 	if number > 0 {
 		return repository.Entry(number)
@@ -309,12 +311,12 @@
 func rollbackCommand(opts *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "rollback REVISION",
-		Short: "Have the settings of an old revision accepted as a new one",
+		Short: "Apply the settings of an old revision as a new one",
 		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			number, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || number == 0 {
-				return &usageError{Message: fmt.Sprintf("%q is no revision", args[0])}
+				return &usageError{Message: fmt.Sprintf("%q is not a revision", args[0])}
 			}
 			repository, err := opts.repository()
 			if err != nil {
--- a/cmd/quayctl/cmds/shares.go
+++ b/cmd/quayctl/cmds/shares.go
@@ -13,13 +13,13 @@
 	shares := &loss.Shares{}
 	command := &cobra.Command{
 		Use:   "shares [LOG...]",
-		Short: "Tell from boxes' logs what customers asked for and got, by second",
+		Short: "Show from boxes' logs what customers requested and got, by second",
 		Long: `Shares reads the logs of boxes, from files or from standard input, and prints for each
-customer and second, in thousands of tokens: what was asked of the box that dispatches,
-what a box refused without asking (beyond the customer's share, or as it was busy), what
-was refused on arrival and after a wait, what was withdrawn, granted and given back, what
-began and what was answered; and which boxes granted and refused it. Boxes write of the
-customers that ask for most, in seconds in which something is refused.`,
+customer and second, in thousands of tokens: what was requested from the box that dispatches,
+what a box refused without asking it (over the customer's share, or because it was busy),
+what was refused on arrival and after a wait, what was withdrawn, granted and given back,
+what began and what was answered; and which boxes granted and refused it. Boxes log the
+customers that request most, in seconds in which something is refused.`,
 		RunE: func(command *cobra.Command, files []string) error {
 			return writeShares(command.OutOrStdout(), command.InOrStdin(), files, shares)
 		},
--- a/cmd/quayctl/main.go
+++ b/cmd/quayctl/main.go
@@ -1,4 +1,4 @@
-// Quayctl is the command line of operators: it checks and applies settings, and
+// Quayctl is the command-line tool of operators. It checks and applies settings, and
 // shows and drains boxes.
 package main
 
--- a/cmd/quaylead/cmds/commands.go
+++ b/cmd/quaylead/cmds/commands.go
@@ -23,7 +23,7 @@
 	statusInvalid = 2
 )
 
-// options are what every command takes.
+// options are the flags that every command has.
 type options struct {
 	file      string
 	overrides []string
@@ -114,7 +114,7 @@
 	return command
 }
 
-// load reads the box's settings and the tree that they name.
+// load reads the box's settings, and the settings tree if they name one.
 func load(opts *options) (box settings.Box, fleet *settings.Fleet, err error) {
 	if opts.file == "" {
 		return box, nil, errors.New("--settings FILE is needed")
--- a/cmd/quaylead/cmds/gateway.go
+++ b/cmd/quaylead/cmds/gateway.go
@@ -17,17 +17,17 @@
 	"github.com/quaylead/quaylead/platform"
 )
 
-// storeTimeout bounds one call of the store, beyond what it is asked to wait. It
-// answers within 10 ms when it is well, and 60 times as late when it is slow.
+// storeTimeout bounds one call to the store, in addition to the time that a feed call asks it to
+// wait. The store answers within 10 ms normally, and 60 times as late when it is slow.
 const storeTimeout = time.Second
 
 func gatewayCommand(opts *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "gateway",
-		Short: "Serve callers on the platform, by the catalog that it keeps",
+		Short: "Serve callers on the platform, configured by its catalog",
 		Long: "Serve callers on the platform. The settings file is named by --settings or by\n" +
-			"the variable " + platform.SettingsVariable + ". SIGTERM begins a planned stop; SIGHUP has the\n" +
-			"settings file checked again.",
+			"the variable " + platform.SettingsVariable + ". SIGTERM begins a planned stop; on SIGHUP the\n" +
+			"settings file is checked again.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGTERM, os.Interrupt)
@@ -71,9 +71,8 @@
 	return err
 }
 
-// checkOnHangup reads the settings file again on SIGHUP. What a running process
-// can take over is in the catalog; the file is checked, and differences are for
-// the next start.
+// checkOnHangup reads the settings file again on SIGHUP and logs whether it is valid. Changes in
+// it take effect at the next start; what can change in a running process is in the catalog.
 func checkOnHangup(ctx context.Context, file string, logs logflags.Logs) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/cmd/quaystand/balancer/balancer.go
+++ b/cmd/quaystand/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer is the stand-in of the platform's balancer: it spreads
-// connections over the boxes that say they are ready.
+// Package balancer is a stand-in of the platform's load balancer. It distributes
+// connections over the boxes that report that they are ready.
 package balancer
 
 import (
@@ -16,9 +16,9 @@
 
 // Box is a box behind the balancer.
 type Box struct {
-	// CallerAddress takes callers' connections.
+	// CallerAddress is the address for callers' connections.
 	CallerAddress string
-	// ReadyURL answers 200 while the box takes work.
+	// ReadyURL answers status 200 while the box accepts work.
 	ReadyURL string
 
 	ready atomic.Bool
@@ -28,13 +28,14 @@
 type Balancer struct {
 	Address string
 	Boxes   []*Box
-	// CheckInterval is the time between two looks at a box's readiness.
+	// CheckInterval is the interval at which the readiness of a box is checked. It also bounds
+	// a readiness check and a connection attempt.
 	CheckInterval time.Duration
 
 	next atomic.Uint64
 }
 
-// Run spreads connections until the context ends.
+// Run distributes connections until the context ends.
 func (b *Balancer) Run(ctx context.Context) (err error) {
 	defer func() { err = trace.Wrap(err, "balancing") }()
 	listener, err := net.Listen("tcp", b.Address)
@@ -67,6 +68,7 @@
 	return group.Wait()
 }
 
+// checkReadiness updates whether a box is ready, until the context ends.
 func (b *Balancer) checkReadiness(ctx context.Context, box *Box) error {
 	ticker := time.NewTicker(b.CheckInterval)
 	defer ticker.Stop()
@@ -81,7 +83,7 @@
 	}
 }
 
-// carry joins a caller's connection to the next ready box.
+// forward connects a caller to the next ready box, round robin, and copies data between them.
 func (b *Balancer) forward(ctx context.Context, caller net.Conn) {
 	defer caller.Close()
 	for range b.Boxes {
@@ -98,7 +100,7 @@
 	}
 }
 
-// join copies both ways until one side ends.
+// pipe copies data in both directions until one side closes.
 func pipe(ctx context.Context, caller, server net.Conn) {
 	defer server.Close()
 	stop := context.AfterFunc(ctx, func() {
@@ -117,6 +119,6 @@
 		caller.Close()
 		return err
 	})
-	// A broken connection ends both directions, and that is all there is to it.
+	// A broken connection ends both directions; its error needs no handling.
 	_ = group.Wait()
 }
--- a/cmd/quaystand/cmds/commands.go
+++ b/cmd/quaystand/cmds/commands.go
@@ -30,7 +30,7 @@
 	return 0
 }
 
-// logOptions say where the ground truth goes.
+// logOptions are the flags of the log of ground truth.
 type logOptions struct {
 	name string
 	path string
@@ -97,7 +97,7 @@
 	flags := command.Flags()
 	flags.StringVar(&s.Address, "address", "127.0.0.1:9101", "IP and port")
 	flags.DurationVar(&s.Latency, "latency", 5*time.Millisecond, "how long a call takes")
-	flags.Float64Var(&s.ErrorRate, "error-rate", 0, "part of calls that answer 500 after running")
+	flags.Float64Var(&s.ErrorRate, "error-rate", 0, "fraction of calls that answer 500 after running")
 	return command
 }
 
@@ -152,7 +152,7 @@
 	return command
 }
 
-// serve runs a stand-in until a signal, then lets it finish what it runs.
+// serve runs a stand-in until SIGTERM or SIGINT, then lets it finish its current requests.
 func serve(ctx context.Context, address string, handler fasthttp.RequestHandler, leave func()) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/quaystand/engine/engine.go
+++ b/cmd/quaystand/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the stand-in of a model engine: continuous batching with a
-// limit of slots and of KV memory, a priority queue, a prompt-prefix cache,
-// load reports that lag, cancelling, and leaving.
+// Package engine is a stand-in of a model engine. It simulates continuous batching
+// with limited slots and KV memory, a priority queue, a prefix cache, delayed load
+// reports, cancelled requests, and leaving.
 package engine
 
 import (
@@ -19,22 +19,23 @@
 
 // Engine is one engine. Its exported fields are set before Run.
 type Engine struct {
-	// Address is the IP and port it serves on.
+	// Address is the IP and port that it listens on.
 	Address string
-	// Slots is the number of requests in a batch.
+	// Slots bounds the requests in a batch.
 	Slots int
-	// KVTokens bounds the tokens of prompts and answers in memory at once.
+	// KVTokens bounds the tokens of prompts and outputs in KV memory. A request that needs
+	// more runs alone.
 	KVTokens int
-	// PrefillRate is the number of prompt tokens read in a second.
+	// PrefillRate is the number of prompt tokens processed per second.
 	PrefillRate float64
 	// DecodeInterval is the time between two tokens of one request in an empty
-	// batch; a full batch takes up to half as long again.
+	// batch. In a full batch it is half as long again.
 	DecodeInterval time.Duration
-	// CacheTokens bounds the prompt-prefix cache.
+	// CacheTokens bounds the prefix cache.
 	CacheTokens int
-	// ReportLag is how old a load report is.
+	// ReportLag is the minimum age of the load report that is served.
 	ReportLag time.Duration
-	// Truth is the log of what was run.
+	// Truth is the log of the requests that were run.
 	Truth *truth.Log
 
 	mu       sync.Mutex
@@ -53,7 +54,7 @@
 	pool.Report
 }
 
-// job is one request at the engine.
+// job is one request in the queue or in the batch.
 type job struct {
 	id       string
 	customer string
@@ -65,15 +66,15 @@
 	index    int
 }
 
-// Control is what the harness may change while the engine runs.
+// Control is the body of a /control call, by which a test changes the engine while it runs.
 type Control struct {
-	// Leaving engines take no new work.
+	// Leaving makes the engine refuse new work, or accept it again.
 	Leaving *bool `json:",omitempty"`
-	// Slowness multiplies every duration; 1 is the usual speed.
+	// Slowness multiplies every duration; 1 is the normal speed.
 	Slowness float64 `json:",omitempty"`
 }
 
-// Handle answers one HTTP call.
+// Handle serves one HTTP call.
 func (e *Engine) Handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/load":
@@ -103,7 +104,7 @@
 	}
 }
 
-// Leave makes the engine take no new work.
+// Leave makes the engine refuse new work.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -122,7 +123,8 @@
 	e.Truth.Add(truth.Event{Kind: kind})
 }
 
-// serveLoad gives the newest report that is at least ReportLag old.
+// serveLoad answers with the newest report that is at least ReportLag old, or else the current
+// one. Its Leaving is always current.
 func (e *Engine) serveLoad(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	report := e.currentReport()
@@ -151,7 +153,7 @@
 // maxReports bounds the history of load reports.
 const maxReports = 256
 
-// note keeps the load as it is now, for later reports.
+// recordReport records the current load for later reports. The caller holds the lock.
 func (e *Engine) recordReport() {
 	e.reports = append(e.reports, timedReport{at: time.Now(), Report: e.currentReport()})
 	if len(e.reports) > maxReports {
@@ -159,7 +161,7 @@
 	}
 }
 
-// callBody is what the engine reads of a request.
+// requestBody contains the fields of a request body that the engine uses.
 type requestBody struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -175,7 +177,7 @@
 	} `json:"metadata"`
 }
 
-// defaultOutputTokens is the answer's length when the request sets none.
+// defaultOutputTokens is the length of the output if the request sets none.
 const defaultOutputTokens = 64
 
 func (e *Engine) serveModel(ctx *fasthttp.RequestCtx) {
@@ -244,7 +246,7 @@
 	}
 }
 
-// enter puts a request into the queue, unless the engine is leaving.
+// enqueue adds a request to the queue. It returns false if the engine is leaving.
 func (e *Engine) enqueue(j *job) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -259,7 +261,8 @@
 	return true
 }
 
-// admit moves requests from the queue into the batch, best priority first.
+// admit moves requests from the queue into the batch, in the order of the queue, while there are
+// slots and KV memory. The caller holds the lock.
 func (e *Engine) admit() {
 	for e.queue.Len() > 0 && e.running < e.Slots {
 		first := e.queue[0]
@@ -275,7 +278,7 @@
 	}
 }
 
-// leave takes a request out of the batch.
+// finish removes a request from the batch.
 func (e *Engine) finish(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -285,10 +288,11 @@
 	e.recordReport()
 }
 
-// goneCheck is the time between two looks whether a waiting caller is gone.
+// callerCheckInterval is the interval at which the connection of a waiting caller is checked.
 const callerCheckInterval = 100 * time.Millisecond
 
-// awaitSlot waits in the queue; it returns false when the caller went away.
+// awaitSlot waits until the request is admitted to the batch. It returns false if the caller has
+// gone away before.
 func (e *Engine) awaitSlot(ctx *fasthttp.RequestCtx, j *job) bool {
 	ticker := time.NewTicker(callerCheckInterval)
 	defer ticker.Stop()
@@ -305,7 +309,8 @@
 	}
 }
 
-// abandon takes a request out of the queue, unless it was admitted meanwhile.
+// removeQueued removes a request from the queue. It returns false if the request has been admitted
+// meanwhile.
 func (e *Engine) removeQueued(j *job) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -317,10 +322,10 @@
 	return true
 }
 
-// prefixBytes is the length of the prompt's beginning that the cache keeps.
+// prefixBytes is the length of the prefix by which the cache identifies prompts.
 const prefixBytes = 512
 
-// prefill returns how long reading the prompt takes, without what is cached.
+// prefill returns the time to process the part of the prompt that is not cached.
 func (e *Engine) prefill(j *job, prompt []byte) time.Duration {
 	hash := fnv.New64a()
 	hash.Write(prompt[:min(len(prompt), prefixBytes)])
@@ -331,7 +336,8 @@
 	return e.scaled(time.Duration(seconds * float64(time.Second)))
 }
 
-// slowed stretches a duration by the load of the batch.
+// scaled multiplies a duration by the load of the batch and by the slowness. The caller holds the
+// lock.
 func (e *Engine) scaled(length time.Duration) time.Duration {
 	factor := 1 + 0.5*float64(e.running)/float64(e.Slots)
 	if e.slowness > 0 {
--- a/cmd/quaystand/engine/queue.go
+++ b/cmd/quaystand/engine/queue.go
@@ -1,13 +1,13 @@
 package engine
 
-// queue is a heap of waiting requests: lowest priority value first, then by
+// queue is a heap of waiting requests, ordered by priority value (lowest first) and then by
 // arrival.
 type queue []*job
 
-// Len is the number of waiting requests.
+// Len returns the number of waiting requests.
 func (q queue) Len() int { return len(q) }
 
-// Less orders by priority, then arrival.
+// Less reports whether request i comes before request j.
 func (q queue) Less(i, j int) bool {
 	if q[i].priority != q[j].priority {
 		return q[i].priority < q[j].priority
@@ -38,14 +38,16 @@
 	return removed
 }
 
-// prefixCache keeps the most recently used prompt prefixes within a bound.
+// prefixCache keeps prompt prefixes within a bound of tokens. It evicts the prefixes that were
+// added first.
 type prefixCache struct {
 	tokens map[uint64]int
 	order  []uint64
 	used   int
 }
 
-// use looks a prefix up, keeps it, and returns how many tokens were cached.
+// use looks a prefix up, adds it if it is missing, and returns how many of its tokens were cached
+// before.
 func (c *prefixCache) use(prefix uint64, tokens, bound int) (cached int) {
 	if c.tokens == nil {
 		c.tokens = map[uint64]int{}
--- a/cmd/quaystand/engine/stream.go
+++ b/cmd/quaystand/engine/stream.go
@@ -11,8 +11,8 @@
 	"github.com/quaylead/quaylead/cmd/quaystand/truth"
 )
 
-// answer writes one request's tokens, each at its time. It is read by the
-// server, and closed by it when the caller went away.
+// tokenStream is the response body of one request, which yields each token at its time. The HTTP
+// server reads it, and closes it when the response ends or the caller has gone away.
 type tokenStream struct {
 	engine       *Engine
 	job          *job
@@ -27,7 +27,7 @@
 	closed  bool
 }
 
-// Read waits for the next token and gives its event.
+// Read waits for the next token and returns its event.
 func (s *tokenStream) Read(p []byte) (int, error) {
 	if len(s.pending) == 0 {
 		if s.ended {
@@ -42,7 +42,7 @@
 	return n, nil
 }
 
-// step makes the next event: a token, or the end.
+// prepareNext prepares the next event: a token, or the end of the stream.
 func (s *tokenStream) prepareNext() error {
 	if s.written == s.job.output {
 		s.pending = s.finalEvents()
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// await sleeps until the next token's time, and ends when the caller is gone.
+// awaitToken sleeps until the time of the next token. It returns an error if the caller has gone
+// away.
 func (s *tokenStream) awaitToken() error {
 	for {
 		left := time.Until(s.next)
@@ -77,8 +78,8 @@
 	}
 }
 
-// token is the text of a request's nth token. It tells whose answer it is, so
-// that a crossed or incomplete answer shows.
+// token returns the text of a request's nth token. It contains the request's ID and the number,
+// so that crossed and incomplete responses can be detected.
 func token(id string, n int) string {
 	return fmt.Sprintf("%s:%d ", id, n)
 }
@@ -99,7 +100,7 @@
 		s.job.input, s.written, s.job.input+s.written)
 }
 
-// Close ends the request, whole or cancelled.
+// Close ends the request and records whether it was finished or cancelled.
 func (s *tokenStream) Close() error {
 	if s.closed {
 		return nil
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// serveWhole writes the answer in one piece.
+// serveComplete writes the response in one piece, without streaming.
 func (s *tokenStream) serveComplete(ctx *fasthttp.RequestCtx) {
 	defer s.Close()
 	var text strings.Builder
--- a/cmd/quaystand/plain/service.go
+++ b/cmd/quaystand/plain/service.go
@@ -1,5 +1,5 @@
-// Package plain is the stand-in of a plain service, such as one that books
-// appointments. It counts how often it ran each request.
+// Package plain is a stand-in of a plain service, such as one that books
+// appointments. It counts how often it has run each request.
 package plain
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/quaylead/quaylead/pkg/pool"
 )
 
-// Service is one server. Its exported fields are set before Run.
+// Service is one server of the service. Its exported fields are set before Run.
 type Service struct {
-	// Address is the IP and port it serves on.
+	// Address is the IP and port that it listens on.
 	Address string
 	// Latency is how long a call takes.
 	Latency time.Duration
-	// ErrorRate is the part of calls that run and then answer status 500.
+	// ErrorRate is the fraction of calls that are run and then answered with status 500.
 	ErrorRate float64
-	// Truth is the log of what was run.
+	// Truth is the log of the requests that were run.
 	Truth *truth.Log
 
 	mu      sync.Mutex
@@ -31,24 +31,25 @@
 	leaving bool
 }
 
-// Answer is the body of an answer.
+// Answer is the body of a response.
 type Answer struct {
 	Endpoint string
 	Request  string
 	Key      string
 	Path     string
-	// Runs is how often this server has run the request's key or id.
+	// Runs is how often this server has run the request's idempotency key, or its ID if it has
+	// no key.
 	Runs int
-	// Length is that of the request's body.
+	// Length is the length of the request's body in bytes.
 	Length int
 }
 
-// Control is what the harness may change while the service runs.
+// Control is the body of a /control call, by which a test changes the service while it runs.
 type Control struct {
 	Leaving *bool `json:",omitempty"`
 }
 
-// Leave makes the service take no new work.
+// Leave makes the service refuse new work.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +57,7 @@
 	s.Truth.Add(truth.Event{Kind: truth.Leaving})
 }
 
-// Handle answers one HTTP call.
+// Handle serves one HTTP call.
 func (s *Service) Handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/load":
@@ -136,7 +137,8 @@
 	ctx.SetBody(body)
 }
 
-// enter counts a run, unless the service is leaving.
+// begin counts a run and returns how often the request has been run. It returns false if the
+// service is leaving.
 func (s *Service) begin(id, key string) (runs int, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/quaystand/platform/close.go
+++ b/cmd/quaystand/platform/close.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// closeConn ends a connection without an answer.
+// closeConn closes a connection without a response.
 func closeConn(c net.Conn) {
 	c.Close()
 }
--- a/cmd/quaystand/platform/platform.go
+++ b/cmd/quaystand/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the stand-in of the operators' platform: a table store
-// with conditional writes and transactions, an object store, and a box list
-// that lags. Its faults are switched on while it runs.
+// Package platform is a stand-in of the operators' platform: a table store with
+// conditional writes and transactions, an object store, and a box list that is
+// updated with a delay. Faults can be switched on while it runs.
 package platform
 
 import (
@@ -21,12 +21,12 @@
 
 // Platform is the stand-in. Its exported fields are set before Run.
 type Platform struct {
-	// Address is the IP and port it serves on.
+	// Address is the IP and port that it listens on.
 	Address string
-	// WritesPerSecond and ReadsPerSecond bound the calls; more are refused.
+	// WritesPerSecond and ReadsPerSecond bound the rate of calls; calls above it are refused.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// ListLag is how old the box list is.
+	// ListLag is the minimum age of the box list that is served.
 	ListLag time.Duration
 	// Truth is the log of accepted settings.
 	Truth *truth.Log
@@ -43,22 +43,22 @@
 	reads    *rate.Limiter
 }
 
-// Faults are what goes wrong at the moment.
+// Faults are the current faults.
 type Faults struct {
-	// Outage refuses every call with status 503, without effect.
+	// Outage answers every call with status 503, without effect.
 	Outage bool
-	// Hang keeps every call without an answer.
+	// Hang keeps every call waiting for hangDuration and then answers status 503.
 	Hang bool
-	// Delay is put before every call.
+	// Delay is waited before every call.
 	Delay time.Duration
-	// LoseAnswers is the part of writes that take effect and then lose their
-	// answer: the connection is closed.
+	// LoseAnswers is the fraction of writes that take effect but get no response: the
+	// connection is closed.
 	LoseAnswers float64
-	// ListOutage refuses calls for the box list.
+	// ListOutage answers reads of the box list with status 503.
 	ListOutage bool
 }
 
-// Counts are the calls that were made.
+// Counts are the numbers of calls that were made, and of the bytes in them.
 type Counts struct {
 	Reads  int64
 	Writes int64
@@ -118,11 +118,11 @@
 	p.reads = rate.NewLimiter(rate.Limit(p.ReadsPerSecond), max(1, int(p.ReadsPerSecond/4)))
 }
 
-// hangFor is how long a hanging call is kept.
+// hangDuration is how long a hanging call waits.
 const hangDuration = 30 * time.Second
 
-// suffer applies the faults before a call and tells whether its answer is to
-// be lost. It returns false when the call is refused.
+// applyFaults applies the current faults to a call before it is executed. It returns false for ok
+// if the call has been refused, and lose if the call is to get no response.
 func (p *Platform) applyFaults(ctx *fasthttp.RequestCtx, path string) (lose, ok bool) {
 	p.mu.Lock()
 	faults := p.faults
@@ -147,7 +147,7 @@
 	return !isRead && rand.Float64() < faults.LoseAnswers, true
 }
 
-// loseAnswer closes the connection in place of answering.
+// dropConnection closes the connection instead of sending a response.
 func (p *Platform) dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Reset()
 	ctx.HijackSetNoResponse(true)
@@ -183,7 +183,7 @@
 	p.lists = append(p.lists, timedList{at: time.Now(), boxes: append([]byte{}, ctx.PostBody()...)})
 }
 
-// serveBoxes gives the newest list that is at least ListLag old.
+// serveBoxes answers with the newest list that is at least ListLag old, or else the first one.
 func (p *Platform) serveBoxes(ctx *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,7 +269,7 @@
 	}
 }
 
-// noteAccepted keeps the ground truth of accepted settings.
+// recordAccepted adds accepted settings to the log of ground truth.
 func (p *Platform) recordAccepted(write platform.Write) {
 	if write.Table != revision.HeadTable {
 		return
--- a/cmd/quaystand/truth/truth.go
+++ b/cmd/quaystand/truth/truth.go
@@ -1,5 +1,5 @@
-// Package truth keeps the ground truth of a stand-in: what it ran and when, so
-// that no measure rests on what a router says of itself.
+// Package truth records the ground truth of a stand-in, that is, what it ran and when, so
+// that no measurement depends on what a router reports about itself.
 package truth
 
 import (
@@ -19,13 +19,13 @@
 const (
 	// Received: the request was read.
 	Received Kind = "received"
-	// Refused: the request was not run, and the caller was told so.
+	// Refused: the request was not run, and the response said so.
 	Refused Kind = "refused"
 	// Started: the request got a slot; from here on it counts as run.
 	Started Kind = "started"
 	// First: the first token was written.
 	First Kind = "first"
-	// Finished: the whole answer was written.
+	// Finished: the whole response was written.
 	Finished Kind = "finished"
 	// Cancelled: the caller went away before the end.
 	Cancelled Kind = "cancelled"
@@ -36,7 +36,7 @@
 	Accepted Kind = "accepted"
 )
 
-// Event is one line of a log.
+// Event is one line of the log.
 type Event struct {
 	At       time.Time
 	Endpoint string
@@ -46,24 +46,24 @@
 	// Key is the idempotency key.
 	Key      string `json:",omitempty"`
 	Priority int    `json:",omitempty"`
-	// Input and Output are tokens; Output is what was written so far.
+	// Input and Output are numbers of tokens. Output counts those written so far.
 	Input  int `json:",omitempty"`
 	Output int `json:",omitempty"`
-	// Revision is that of accepted settings.
+	// Revision is the revision of accepted settings.
 	Revision uint64 `json:",omitempty"`
 }
 
-// Log appends events to a file, each written through at once, so that a killed
-// process loses none.
+// Log appends events to a file. Each is written without a buffer, so that a killed process loses
+// none.
 type Log struct {
-	// Endpoint is put into every event.
+	// Endpoint is the name of the stand-in, which is written in every event.
 	Endpoint string
 
 	mu   sync.Mutex
 	file *os.File
 }
 
-// Open opens the file of a log; an empty path keeps none.
+// Open opens the file of the log. With an empty path the log records nothing.
 func (l *Log) Open(path string) (err error) {
 	defer func() { err = trace.Wrap(err, "opening the log of ground truth") }()
 	if path == "" {
@@ -73,7 +73,7 @@
 	return err
 }
 
-// Add writes an event with the time of now.
+// Add writes an event with the current time.
 func (l *Log) Add(event Event) {
 	if l.file == nil {
 		return
@@ -91,7 +91,8 @@
 	}
 }
 
-// Read reads a log. An unfinished last line, left by a kill, is skipped.
+// Read reads a log. Lines that are not valid JSON are skipped, as a killed process may leave an
+// incomplete last line.
 func Read(path string) (events []Event, err error) {
 	defer func() { err = trace.Wrap(err, "reading ground truth from %s", path) }()
 	file, err := os.Open(path)
