--- a/cmd/quaybench/soak/caller.go
+++ b/cmd/quaybench/soak/caller.go
@@ -23,8 +23,9 @@
 	incarnation int
 	sent, ended time.Time
 	status      int
-	answeredID  string
-	body        string
+	// answeredID is the request ID in the response; empty if it has none.
+	answeredID string
+	body       string
 	// err is set if the response was cut or none came.
 	err error
 	// probedVersion is the configuration version whose own route was requested; 0 for
--- a/cmd/quaybench/soak/faults.go
+++ b/cmd/quaybench/soak/faults.go
@@ -339,14 +339,14 @@
 
 func (w *world) breakLink(ctx context.Context, f linkFault, length time.Duration) error {
 	if f.toxic.Type == "" {
-		if err := w.grid.Cut(f.link); err != nil {
+		if err := w.proxies.Cut(f.link); err != nil {
 			return w.reportSkipped(f, err)
 		}
-	} else if err := w.grid.Inject(f.link, f.toxic); err != nil {
+	} else if err := w.proxies.Inject(f.link, f.toxic); err != nil {
 		return w.reportSkipped(f, err)
 	}
 	_ = interval.Wait(ctx, length)
-	return w.grid.Heal(f.link)
+	return w.proxies.Heal(f.link)
 }
 
 // reportSkipped reports a link fault that was skipped because the link already has one of the
--- a/cmd/quaybench/soak/selfreport.go
+++ b/cmd/quaybench/soak/selfreport.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		key := boxServer{boxIncarnation{o.box, o.incarnation}, arrival.Server}
-		if at, said := left[key]; said && o.sent.After(at) {
+		if at, announced := left[key]; announced && o.sent.After(at) {
 			violations = append(violations, o.describe(fmt.Sprintf("it was sent to %s, %s after a response had announced that it leaves", arrival.Server, o.sent.Sub(at))))
 		}
 		if rest := rests[key]; arrival.At.After(rest.from.Add(inFlightDelay)) && arrival.At.Before(rest.to) && !w.mayHaveLostResponse(o.box, rest.from, arrival.At) {
--- a/cmd/quaybench/soak/world.go
+++ b/cmd/quaybench/soak/world.go
@@ -23,12 +23,12 @@
 // world is a fleet of boxes with everything that it runs against: the store, the servers and
 // the proxies between them.
 type world struct {
-	soak  *Soak
-	truth *standin.Truth
-	store *standin.Store
-	grid  *fault.ProxySet
-	boxes []*box
-	group errgroup.Group
+	soak    *Soak
+	truth   *standin.Truth
+	store   *standin.Store
+	proxies *fault.ProxySet
+	boxes   []*box
+	group   errgroup.Group
 
 	mu      sync.Mutex
 	servers []*server
@@ -79,7 +79,7 @@
 
 func newWorld(s *Soak) (w *world, err error) {
 	defer func() { err = trace.Wrap(err, "setting up the fleet") }()
-	w = &world{soak: s, truth: &standin.Truth{}, grid: fault.NewProxySet(), acceptedAt: map[int]time.Time{}}
+	w = &world{soak: s, truth: &standin.Truth{}, proxies: fault.NewProxySet(), acceptedAt: map[int]time.Time{}}
 	w.store, err = standin.NewStore("127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 		return err
 	}
 	w.group.Go(s.Run)
-	proxyAddress, err := w.grid.Add(id, s.Address())
+	proxyAddress, err := w.proxies.Add(id, s.Address())
 	if err != nil {
 		return err
 	}
@@ -181,7 +181,7 @@
 		}
 		addresses[i] = address
 	}
-	store, err := w.grid.Add(storeLink(name), w.store.Address())
+	store, err := w.proxies.Add(storeLink(name), w.store.Address())
 	if err != nil {
 		return err
 	}
@@ -311,7 +311,7 @@
 		s.Close()
 	}
 	w.store.Close()
-	w.grid.Close()
+	w.proxies.Close()
 	// Serve functions return an error when their listener is closed.
 	_ = w.group.Wait()
 }
