--- a/pkg/endpoint/checked_response.go
+++ b/pkg/endpoint/checked_response.go
@@ -9,36 +9,36 @@
 	"github.com/valyala/fasthttp"
 )
 
-// TooLargeError reports an answer that is larger than may be held whole.
+// TooLargeError reports that a response body exceeds the limit for bodies held in memory.
 type TooLargeError struct {
 	Limit int
 }
 
-// Error names the limit.
+// Error implements error.
 func (e *TooLargeError) Error() string {
 	return "the endpoint's answer is larger than the limit"
 }
 
-// Answer is an endpoint's answer whose head was read. Its body is read by Read
-// or Whole; Close has to follow in every case.
+// CheckedResponse is an endpoint's response whose header was read, and whose reads call a
+// Check while they wait. Read or ReadAll reads its body; Close must always be called.
 type CheckedResponse struct {
-	// Response holds status and headers; its body is not to be used directly.
+	// Response holds status and header; its body must not be used directly.
 	Response fasthttp.Response
 
 	client *Client
 	conn   *conn
 	check  Check
-	// read counts the bytes of the body that were read.
+	// bytesRead counts the bytes of the body that were read.
 	bytesRead int
-	// whole is set once the body was read to the end that its framing promised.
+	// complete is set once the body was read to the end that its framing defines.
 	complete bool
 	closed   bool
 }
 
-// chunkedLength is how the library marks a chunked body.
+// chunkedLength is the content length by which fasthttp marks a chunked body.
 const chunkedLength = -1
 
-// Length is the promised length of the body, or -1 when it is chunked.
+// Length returns the content length of the body, or -1 if the header does not state it.
 func (r *CheckedResponse) Length() int {
 	if r.Response.BodyStream() == nil {
 		return 0
@@ -46,14 +46,13 @@
 	return max(-1, r.Response.Header.ContentLength())
 }
 
-// Empty tells that there is no body to read.
+// IsEmpty reports whether there is no body to read.
 func (r *CheckedResponse) IsEmpty() bool {
 	return r.Length() == 0
 }
 
-// Read reads a piece of the body as soon as there is one. It returns io.EOF
-// only at the end that the framing promised; a body that ends before gives
-// io.ErrUnexpectedEOF.
+// Read returns body bytes as soon as some are available. It returns io.EOF only at the end
+// that the framing defines; a body that ends earlier gives io.ErrUnexpectedEOF.
 func (r *CheckedResponse) Read(p []byte) (n int, err error) {
 	stream := r.Response.BodyStream()
 	if stream == nil {
@@ -74,21 +73,21 @@
 	return n, err
 }
 
-// unread tells whether more of the body has to come from the connection. A
-// body whose length is known ends without another byte.
+// hasMore reports whether more of the body has to be read from the connection. A body of known
+// length ends without another read.
 func (r *CheckedResponse) hasMore() bool {
 	return !r.complete && r.Response.Header.ContentLength() != r.bytesRead
 }
 
-// framed tells whether the body came to the end that it promised. A body that
-// runs until the connection closes promises none, so it never does.
+// isComplete reports whether the body was read to the end that its framing defines. A body
+// that runs until the connection closes has no such end, so it is never complete.
 func (r *CheckedResponse) isComplete() bool {
 	length := r.Response.Header.ContentLength()
 	return length == chunkedLength || length == r.bytesRead
 }
 
-// await waits for the next byte of the endpoint, asking the check meanwhile. In
-// the middle of an answer the silence is bounded.
+// waitReadable waits for the next byte from the endpoint and calls the check meanwhile. If
+// bounded, it fails after StallTimeout without a byte, as in the middle of a response.
 func (r *CheckedResponse) waitReadable(bounded bool) error {
 	began := time.Now()
 	for {
@@ -118,7 +117,7 @@
 	return err
 }
 
-// Whole reads the rest of the body into memory, up to a limit.
+// ReadAll reads the rest of the body into memory, up to a limit.
 func (r *CheckedResponse) ReadAll(limit int) (body []byte, err error) {
 	defer func() { err = trace.Wrap(err, "reading the answer") }()
 	if length := r.Length(); length > 0 {
@@ -147,8 +146,8 @@
 	}
 }
 
-// Close lets the connection go: back to the idle ones if the answer was read
-// to its end, closed otherwise, which also cancels work at the endpoint.
+// Close returns the connection to the idle ones if the body was read to its end. Otherwise it
+// closes the connection, which also cancels the work at the endpoint.
 func (r *CheckedResponse) Close() error {
 	if r.closed {
 		return nil
--- a/pkg/endpoint/conn.go
+++ b/pkg/endpoint/conn.go
@@ -1,6 +1,6 @@
-// Package endpoint speaks HTTP to the endpoints of a pool. It keeps its own
-// connections, so that it always knows whether a byte of a request may have
-// left, and never reuses a connection whose answer was not read to its end.
+// Package endpoint is an HTTP client for the endpoints of a pool. It manages its own
+// connections so that it always knows whether a byte of a request may have been sent, and
+// never reuses a connection whose response was not read to its end.
 package endpoint
 
 import (
@@ -18,39 +18,40 @@
 	"github.com/quaylead/quaylead/pkg/keepalive"
 )
 
-// Check is asked again and again while an answer is awaited. An error ends the
-// wait: the caller went away, or its deadline passed.
+// Check is called repeatedly while a response is awaited. An error ends the wait: the caller
+// disconnected or its deadline passed.
 type Check func() error
 
 // checkInterval is the time between two calls of a Check.
 const checkInterval = 200 * time.Millisecond
 
-// silence is how long a connection may be without a sign of life from the endpoint's
-// machine. Callers of streams give up after 2 to 3.2 s without an event, so that an
-// answer that comes later is of no use, and a cut that heals sooner ends none.
+// silenceTimeout is how long the endpoint's machine may leave data or keep-alive probes
+// unacknowledged before the connection fails. Callers of streams give up after 2 to 3.2 s
+// without an event, so a response that resumes later is useless, and a network partition that
+// heals sooner ends no connection.
 const silenceTimeout = 4 * time.Second
 
-// maxIdleConns bounds the idle connections kept for one address.
+// maxIdleConns bounds the idle connections to one address.
 const maxIdleConns = 64
 
-// StalledError reports silence in the middle of an answer.
+// StalledError reports that no data came for too long in the middle of a response.
 type StalledError struct {
 	Address string
 	Silence time.Duration
 }
 
-// Error names the address and the length of the silence.
+// Error implements error.
 func (e *StalledError) Error() string {
 	return "endpoint " + e.Address + " was silent for " + e.Silence.String()
 }
 
-// DialError reports that no connection was made, so no byte has left.
+// DialError reports that no connection was made, so no byte was sent.
 type DialError struct {
 	Address string
 	Err     error
 }
 
-// Error names the address and the cause.
+// Error implements error.
 func (e *DialError) Error() string {
 	return "connecting to endpoint " + e.Address + ": " + e.Err.Error()
 }
@@ -65,28 +66,28 @@
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// idleSince is when its last answer had been read.
+	// idleSince is when the last response on it had been read.
 	idleSince time.Time
-	// keepAlive is how long the endpoint keeps it idle; 0 means unknown.
+	// keepAlive is how long the endpoint keeps it open while idle; 0 means unknown.
 	keepAlive time.Duration
 }
 
-// Client holds the connections to one address.
+// Client manages the connections to one address.
 type Client struct {
 	// Address is the endpoint's IP and port.
 	Address string
 	// ConnectTimeout bounds connecting.
 	ConnectTimeout time.Duration
-	// StallTimeout is the longest silence in the middle of an answer.
+	// StallTimeout is the longest time without data in the middle of a response.
 	StallTimeout time.Duration
-	// HeaderBytes bounds the head of an answer.
+	// HeaderBytes bounds the header of a response.
 	HeaderBytes int
 
 	mu   sync.Mutex
 	idle []*conn
-	// usedAt is when a connection was last taken or given back.
+	// usedAt is when a connection was last acquired or released.
 	usedAt time.Time
-	// retired clients keep no connection any more.
+	// retired is set by Retire; connections released later are closed.
 	retired bool
 }
 
@@ -108,7 +109,8 @@
 	}, nil
 }
 
-// take returns an idle connection that is still open, or a new one.
+// acquire returns an idle connection that is still open, or a new one. ForceNew skips the idle
+// ones.
 func (c *Client) acquire(forceNew bool) (*conn, error) {
 	for !forceNew {
 		idle := c.popIdle()
@@ -135,7 +137,7 @@
 	return last
 }
 
-// give keeps a connection whose answer was read to its end.
+// release makes a connection idle whose response was read to its end.
 func (c *Client) release(open *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,8 +150,8 @@
 	c.idle = append(c.idle, open)
 }
 
-// Sweep closes the connections that were idle for too long: nothing else would,
-// and each takes a descriptor here and at the endpoint.
+// Sweep closes the connections that were idle for too long. Nothing else would close them, and
+// each takes a file descriptor here and at the endpoint.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,9 +167,10 @@
 	c.idle = kept
 }
 
-// Retire has a client that was not used for a while, and has no idle connection, keep none any
-// more, so that it can be dropped: a box of a large fleet uses ever other endpoints. It reports
-// whether it did; what is still under way goes on.
+// Retire retires the client if it has no idle connections and was not used for the given time.
+// A retired client keeps no connections, so that it can be dropped: the endpoints that a box
+// of a large fleet uses change all the time. Requests in progress continue. Retire reports
+// whether the client is retired.
 func (c *Client) Retire(unused time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,9 +193,9 @@
 	c.idle = nil
 }
 
-// Send writes the request and waits for the head of the answer. Fresh asks for
-// a connection of its own, so that a stale one can not leave the outcome open.
-// Sending is called just before the first byte may leave, sent once all has.
+// Send writes the request and waits for the header of the response. ForceNew opens a new
+// connection, since a request on a stale one may fail without showing whether it ran. Sending
+// is called just before the first byte may be sent, sent once all bytes were.
 func (c *Client) Send(call *fasthttp.Request, forceNew bool, check Check, sending, sent func() error) (response *CheckedResponse, err error) {
 	open, err := c.acquire(forceNew)
 	if err != nil {
@@ -235,7 +238,7 @@
 	return c.writer.Flush()
 }
 
-// isTimeout tells a passed read deadline from other failures.
+// isTimeout reports whether the error is an expired read deadline.
 func isTimeout(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/pkg/endpoint/engine.go
+++ b/pkg/endpoint/engine.go
@@ -9,41 +9,42 @@
 	"github.com/gravitational/trace"
 )
 
-// Usage is the true cost of a model request, as the engine counts it.
+// Usage is the number of tokens that a model request took, as the engine counts them.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// ModelCall is what the router reads of a caller's model request. The members
-// it does not know pass on unchanged.
+// ModelCall holds the fields of a caller's model request that the router reads. Other fields
+// are forwarded unchanged.
 type ModelCall struct {
 	Model     string
 	Stream    bool
 	MaxTokens int
-	// WantsUsage tells that the caller asked for the usage event of a stream.
+	// WantsUsage is set if the caller asked for the usage event of a stream.
 	WantsUsage bool
 	// PromptBytes is the length of the prompt's JSON.
 	PromptBytes int
-	// Affinity is a hash of the prompt's beginning, never 0.
+	// Affinity is a hash of the start of the prompt, never 0.
 	Affinity uint64
 
 	members map[string]json.RawMessage
 }
 
-// affinityBytes is the length of the prompt's beginning that leads requests to
+// affinityBytes is the length of the start of the prompt. Requests with the same start prefer
 // the same endpoint.
 const affinityBytes = 512
 
-// BytesPerToken is the rough length of a token, used until the engine says.
+// BytesPerToken is the approximate length of a token. Costs are estimated with it until the
+// engine states its usage.
 const BytesPerToken = 4
 
-// streamOptions is the part of a request that asks for the usage event.
+// streamOptions is the request field that asks for the usage event.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// ParseModelCall reads the body of a call to the OpenAI-compatible API.
+// ParseModelCall parses the body of a request to the OpenAI-compatible API.
 func ParseModelCall(body []byte) (call *ModelCall, err error) {
 	defer func() { err = trace.Wrap(err, "reading model request") }()
 	call = &ModelCall{}
@@ -96,8 +97,8 @@
 	c.Affinity = xxhash.Sum64(prompt[:min(len(prompt), affinityBytes)]) | 1
 }
 
-// Body writes the request for an engine: with its priority, and asking for the
-// usage event that the cost is settled by.
+// Body encodes the request for an engine. It adds the priority, and asks for the usage event,
+// from which the cost is settled.
 func (c *ModelCall) Body(priorityField string, priority int) (body []byte, err error) {
 	defer func() { err = trace.Wrap(err, "writing model request") }()
 	if priorityField != "" {
@@ -121,19 +122,18 @@
 	return json.Marshal(c.members)
 }
 
-// WholeUsage reads the usage of an answer that came in one piece.
+// ParseUsage returns the usage from the body of a response that is not a stream.
 func ParseUsage(body []byte) (usage Usage, known bool) {
-	var answer struct {
+	var response struct {
 		Usage *Usage `json:"usage"`
 	}
-	if json.Unmarshal(body, &answer) != nil || answer.Usage == nil {
+	if json.Unmarshal(body, &response) != nil || response.Usage == nil {
 		return Usage{}, false
 	}
-	return *answer.Usage, true
+	return *response.Usage, true
 }
 
-// usageMark is how an event that carries usage is told from the many that do
-// not, without decoding each.
+// usageKey marks the few events that carry usage, so that the others need not be decoded.
 var usageKey = []byte(`"usage":`)
 
 func hasUsage(event []byte) bool {
--- a/pkg/endpoint/open_linux.go
+++ b/pkg/endpoint/open_linux.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsOpen tells whether the other side of a connection still holds it open, as
-// far as this box has heard. It reads nothing and does not block.
+// IsOpen reports whether the other side of a connection still holds it open, as far as this
+// machine has been notified. It consumes no data and does not block.
 func IsOpen(c net.Conn) bool {
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
@@ -29,8 +29,8 @@
 	return open && err == nil
 }
 
-// IsQuiet tells whether a connection is open and nothing is left to read on it.
-// On a connection without a request, anything to read is a surplus.
+// IsQuiet reports whether a connection is open and has no unread data. On a connection without
+// a request, unread data belongs to a surplus response.
 func IsQuiet(c net.Conn) bool {
 	sysConn, ok := c.(syscall.Conn)
 	if !ok {
@@ -49,9 +49,9 @@
 	return quiet && err == nil
 }
 
-// AwaitClose waits until the other side of a connection has closed it, or has
-// sent something. It reads nothing. A read deadline in the past ends the wait.
-// It reports whether the connection was closed.
+// AwaitClose waits until the other side of a connection has closed it or has sent data. It
+// consumes nothing. A read deadline in the past ends the wait. It reports whether the
+// connection was closed.
 func AwaitClose(c net.Conn) (closed bool) {
 	sysConn, ok := c.(syscall.Conn)
 	if !ok {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return false
 	}
-	// An error means that the wait was ended from this side.
+	// An error means that this side ended the wait.
 	_ = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -83,11 +83,11 @@
 	return err == nil && n > 0 && !isClosing(fd)
 }
 
-// closeWait is the state of a connection whose other side has closed it.
+// closeWait is TCP_CLOSE_WAIT: the other side has closed the connection.
 const closeWait = 8
 
-// closing tells whether the other side has closed although something is left to
-// read, such as the last word of TLS.
+// isClosing reports whether the other side has closed the connection although unread data
+// remains, such as a TLS close_notify alert.
 func isClosing(fd int) bool {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	return err == nil && info.State == closeWait
--- a/pkg/endpoint/open_other.go
+++ b/pkg/endpoint/open_other.go
@@ -4,14 +4,16 @@
 
 import "net"
 
-// IsOpen can not tell on this system, and takes every connection for open; a
-// closed one is then found by writing to it.
+// IsOpen returns true: the state is only available on Linux. Elsewhere a write to a closed
+// connection fails.
 func IsOpen(c net.Conn) bool {
 	return true
 }
 
-// IsQuiet is only known on Linux; elsewhere the answer's id shows a surplus.
+// IsQuiet returns true: unread data is only detected on Linux. Elsewhere the request ID of a
+// response shows that it is a surplus one.
 func IsQuiet(net.Conn) bool { return true }
 
-// AwaitClose is only known on Linux; elsewhere a write shows that a caller left.
+// AwaitClose returns false: a close is only detected on Linux. Elsewhere a failed write shows
+// that the caller disconnected.
 func AwaitClose(net.Conn) bool { return false }
--- a/pkg/endpoint/response.go
+++ b/pkg/endpoint/response.go
@@ -15,30 +15,30 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Call is one request on its way to an endpoint.
+// Call is one request to an endpoint.
 type Call struct {
 	Request *fasthttp.Request
-	// Sure asks for a connection that is surely alive, so that a stale one can
-	// not leave the outcome open.
+	// NonRepeatable requests must not be sent twice. They only reuse connections that were
+	// idle very briefly, since a stale one may fail without showing whether the request ran.
 	NonRepeatable bool
-	// Sending is called just before the first byte may leave.
+	// Sending is called just before the first byte may be sent.
 	Sending func() error
-	// Belongs tells whether an answer is to this request. Others are read to
-	// their end and left out: a surplus answer may come before the one due.
+	// Matches reports whether a response belongs to this request. Other responses are read to
+	// their end and dropped: a surplus one may come before the expected one.
 	Matches func(head *fasthttp.ResponseHeader) bool
-	// Written is called once nothing of the request is read any more, which may
-	// be after Do returned an answer, and always before Close of it returns.
+	// Written is called once nothing reads the request any more. This may be after Do returned
+	// a response, but is always before Close of that response returns.
 	Written func()
 }
 
-// NoAnswerError reports that the request was sent, at least in part, and no
-// answer came: it may have run.
+// NoResponseError reports that at least part of the request was sent and no response came: the
+// request may have run.
 type NoResponseError struct {
 	Address string
 	Err     error
 }
 
-// Error names the address and the cause.
+// Error implements error.
 func (e *NoResponseError) Error() string {
 	return "no answer from endpoint " + e.Address + ": " + e.Err.Error()
 }
@@ -46,34 +46,35 @@
 // Unwrap returns the cause.
 func (e *NoResponseError) Unwrap() error { return e.Err }
 
-// Reply is an endpoint's answer whose head was read. Its body is read by Read;
-// Close has to follow in every case.
+// Response is an endpoint's response whose header was read. Read or ReadAll reads its body;
+// Close must always be called.
 type Response struct {
-	// Head is spelled as the endpoint sent it.
+	// Head keeps the spelling of header names that the endpoint sent.
 	Head fasthttp.ResponseHeader
 
 	client *Client
 	conn   *conn
 	body   io.Reader
-	// left counts the bytes that a body of known length still has; chunked and
-	// untilClose are the other framings.
+	// remaining counts the unread bytes of a body of known length; chunked and untilClose are
+	// the other framings.
 	remaining  int
 	chunked    bool
 	untilClose bool
 	complete   bool
-	// spent connections are not used again.
+	// noReuse is set if the connection must not be used again.
 	noReuse    bool
 	closed     bool
 	stopCancel func() bool
-	// writing of the request may go on after an early answer.
+	// requestWrite may still be in progress after an early response.
 	requestWrite *requestWrite
 }
 
-// mostSurplus bounds the surplus answers that are left out on one connection.
+// maxSurplusResponses bounds the responses to other requests that are dropped on one
+// connection.
 const maxSurplusResponses = 3
 
-// Do sends a request and waits for the head of its answer. When the context
-// ends, the connection is closed, which also tells the endpoint.
+// Do sends a request and waits for the header of its response. When the context ends, the
+// connection is closed, which also cancels the request at the endpoint.
 func (c *Client) Do(ctx context.Context, call *Call) (response *Response, err error) {
 	open, reused, err := c.acquireContext(ctx, call.NonRepeatable)
 	if err != nil {
@@ -97,13 +98,13 @@
 	if err := call.Sending(); err != nil {
 		return nil, err
 	}
-	// The request belongs to its writer from here on.
+	// From here on, the writing goroutine owns the request.
 	isHead := call.Request.Header.IsHead()
 	write = open.startWrite(call)
 	response, err = c.readResponse(open, call, isHead)
 	if err != nil {
 		if ctx.Err() != nil && reused {
-			// Not a byte came. The idle ones may have gone silent with it.
+			// No byte came: other idle connections may be dead as well.
 			c.Close()
 		}
 		return nil, &NoResponseError{Address: c.Address, Err: err}
@@ -114,7 +115,8 @@
 	return response, nil
 }
 
-// obtain returns an idle connection that may be used, or a new one. Kept tells which.
+// acquireContext returns an idle connection that may be used, or a new one, and whether it is
+// reused.
 func (c *Client) acquireContext(ctx context.Context, nonRepeatable bool) (open *conn, reused bool, err error) {
 	for {
 		idle := c.popIdle()
@@ -130,40 +132,41 @@
 }
 
 const (
-	// idleMost is the longest that an idle connection is kept where the endpoint
-	// does not say; endpoints forget them, also without a word.
+	// maxIdleTime bounds the time that a connection stays idle if the endpoint does not state
+	// one. Endpoints drop idle connections, sometimes without closing them.
 	maxIdleTime = 4 * time.Second
-	// idleSure is the same for a request that must not be sent twice.
+	// maxIdleTimeNonRepeatable is the same for a request that must not be sent twice.
 	maxIdleTimeNonRepeatable = time.Second
 )
 
-// fresh tells whether an idle connection is young enough to be used.
+// isFresh reports whether a connection was idle briefly enough to be used.
 func (c *conn) isFresh(nonRepeatable bool) bool {
 	maxIdle := maxIdleTime
 	if nonRepeatable {
 		maxIdle = maxIdleTimeNonRepeatable
 	}
 	if c.keepAlive > 0 {
-		// The endpoint counts in whole seconds, from its own clock.
+		// The endpoint measures whole seconds by its own clock.
 		maxIdle = min(maxIdle, c.keepAlive-500*time.Millisecond)
 	}
 	return time.Since(c.idleSince) < maxIdle
 }
 
-// writing is a request being written while its answer is awaited: an endpoint
-// may answer before it has read a long body.
+// requestWrite is a request that is written while its response is awaited: an endpoint may
+// respond before it has read a long body.
 type requestWrite struct {
 	finished chan struct{}
 	err      error
 	group    errgroup.Group
 }
 
-// writerSlack is how long an answer waits for the end of its request's writing.
-// On a busy machine the writer may have written all, and not have been run since;
-// an early answer, to a long body, comes far sooner than the rest of that.
+// writeDoneTimeout is how long a response waits until its request is written. On a busy
+// machine the writing goroutine may have sent all bytes without having been scheduled since.
+// An early response to a long body comes far sooner than the rest of that body could be
+// written.
 const writeDoneTimeout = 20 * time.Millisecond
 
-// doneSoon tells whether all was written.
+// waitDone waits briefly and reports whether the whole request was written.
 func (w *requestWrite) waitDone() bool {
 	select {
 	case <-w.finished:
@@ -180,8 +183,8 @@
 	}
 }
 
-// wait returns when the request is no longer read. The connection is closed
-// before, unless all was written.
+// wait returns when nothing reads the request any more. The caller closes the connection
+// before, unless the whole request was written.
 func (w *requestWrite) wait() { <-w.finished }
 
 func (c *conn) startWrite(call *Call) *requestWrite {
@@ -225,8 +228,7 @@
 	return nil, trace.BadParameter("the answers on this connection belong to other requests")
 }
 
-// expectAnswer looks whether what comes begins like an answer, so that garbage
-// is told at once.
+// checkStatusLine checks that the data begins like a response, so that garbage fails at once.
 func checkStatusLine(reader *bufio.Reader) error {
 	const prefix = "HTTP/1."
 	got, err := reader.Peek(len(prefix))
@@ -239,7 +241,7 @@
 	return nil
 }
 
-// frame finds out how long the body is.
+// setFraming determines how the end of the body is found.
 func (r *Response) setFraming(isHead bool) {
 	status := r.Head.StatusCode()
 	length := r.Head.ContentLength()
@@ -260,9 +262,9 @@
 	r.noReuse = r.noReuse || r.Head.ConnectionClose()
 }
 
-// Read reads a piece of the body as soon as there is one. It returns io.EOF
-// only at the end that the framing promised, or, where it promised none, when
-// the endpoint closed the connection in order.
+// Read returns body bytes as soon as some are available. It returns io.EOF only at the end
+// that the framing defines, or, where the body runs until the connection closes, when the
+// endpoint closed it in order.
 func (r *Response) Read(p []byte) (n int, err error) {
 	if r.complete {
 		return 0, io.EOF
@@ -300,17 +302,17 @@
 	}
 }
 
-// Framed tells whether the answer says where it ends. One that ends with its connection ends
-// alike where its endpoint does.
+// IsFramed reports whether the header defines where the body ends. A body that runs until the
+// connection closes looks complete even if its endpoint crashed.
 func (r *Response) IsFramed() bool { return !r.untilClose }
 
-// Whole reads the rest of the body, up to a limit.
+// ReadAll reads the rest of the body, up to a limit.
 func (r *Response) ReadAll(limit int) ([]byte, error) {
 	return readAll(r, nil, limit)
 }
 
-// Close lets the connection go: back to the idle ones if the answer was read to
-// its end, closed otherwise, which also cancels work at the endpoint.
+// Close returns the connection to the idle ones if the body was read to its end. Otherwise it
+// closes the connection, which also cancels the work at the endpoint.
 func (r *Response) Close() {
 	if r.closed {
 		return
@@ -326,8 +328,8 @@
 	r.client.release(r.conn)
 }
 
-// keepAliveOf is the time that the endpoint keeps an idle connection; 0 means
-// that it does not say.
+// parseKeepAlive returns how long the endpoint keeps an idle connection, or 0 if it does not
+// state it.
 func parseKeepAlive(head *fasthttp.ResponseHeader) time.Duration {
 	_, after, found := strings.Cut(string(head.Peek(fasthttp.HeaderKeepAlive)), "timeout=")
 	if !found {
--- a/pkg/endpoint/response_test.go
+++ b/pkg/endpoint/response_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// server answers each connection by a script.
+// server handles each connection by a script.
 type server struct {
 	listener net.Listener
 	group    errgroup.Group
@@ -53,7 +53,7 @@
 	return &Client{Address: s.listener.Addr().String(), ConnectTimeout: time.Second}
 }
 
-// readRequest takes one request of known length off a connection.
+// readRequest reads one request of known length from a connection.
 func readRequest(reader *bufio.Reader) (body []byte, err error) {
 	request := &fasthttp.Request{}
 	err = request.Read(reader)
@@ -76,15 +76,15 @@
 	}
 }
 
-// answers are what a server may send, and what the caller gets of it.
-var answers = []struct {
+// responseCases lists what a server may send and what the caller gets.
+var responseCases = []struct {
 	name, sent string
-	// reset ends the connection with a reset in place of an orderly close.
+	// reset ends the connection by a reset in place of an orderly close.
 	reset bool
 	body  string
-	// failed: no answer can be had; cut: its body ends before its end.
+	// failed: Do returns an error; cut: the body ends too early.
 	failed, cut bool
-	// unframed answers do not say where they end.
+	// unframed: the header does not define where the body ends.
 	unframed bool
 }{
 	{name: "a length", sent: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", body: "hello"},
@@ -95,52 +95,52 @@
 	{name: "a length, cut", sent: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", cut: true},
 	{name: "chunks, cut between two", sent: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", cut: true},
 	{name: "chunks, cut before the last line", sent: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n", cut: true},
-	{name: "a head that is cut", sent: "HTTP/1.1 200 OK\r\nContent-Le", failed: true},
+	{name: "a header that is cut", sent: "HTTP/1.1 200 OK\r\nContent-Le", failed: true},
 	{name: "nothing", sent: "", failed: true},
-	{name: "bytes that are no answer", sent: "garbage garbage", failed: true},
-	{name: "an answer to another request before its own", body: "hello",
+	{name: "bytes that are no response", sent: "garbage garbage", failed: true},
+	{name: "a response to another request before its own", body: "hello",
 		sent: "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\nxyzHTTP/1.1 200 OK\r\nX-Id: mine\r\nContent-Length: 5\r\n\r\nhello"},
-	{name: "only an answer to another request", failed: true,
+	{name: "only a response to another request", failed: true,
 		sent: "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\nxyz"},
-	{name: "an interim answer before its own", body: "hello",
+	{name: "an interim response before its own", body: "hello",
 		sent: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"},
 }
 
 func TestReply(t *testing.T) {
-	for _, a := range answers {
-		Convey("An endpoint answers with "+a.name, t, func() {
+	for _, c := range responseCases {
+		Convey("An endpoint responds with "+c.name, t, func() {
 			s := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 				if _, err := readRequest(reader); err != nil {
 					return
 				}
-				_, _ = conn.Write([]byte(a.sent))
-				if a.reset {
-					// The body has to arrive before the reset overtakes it.
+				_, _ = conn.Write([]byte(c.sent))
+				if c.reset {
+					// The body has to arrive before the reset discards it.
 					_, _ = reader.Peek(1)
 					_ = conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
 			defer s.close()
 			response, err := s.client().Do(context.Background(), callWith([]byte("body")))
-			if a.failed {
+			if c.failed {
 				var none *NoResponseError
 				So(errors.As(err, &none), ShouldBeTrue)
 				return
 			}
 			So(err, ShouldBeNil)
 			defer response.Close()
-			So(response.IsFramed(), ShouldEqual, !a.unframed)
-			if a.reset {
+			So(response.IsFramed(), ShouldEqual, !c.unframed)
+			if c.reset {
 				_ = response.conn.Conn.(*net.TCPConn).CloseWrite()
 			}
 			body, err := response.ReadAll(1000)
-			if a.cut {
+			if c.cut {
 				So(err, ShouldNotBeNil)
 				So(errors.Is(err, io.EOF), ShouldBeFalse)
 				return
 			}
 			So(err, ShouldBeNil)
-			So(string(body), ShouldEqual, a.body)
+			So(string(body), ShouldEqual, c.body)
 		})
 	}
 }
@@ -176,10 +176,10 @@
 		return s.accepted
 	}
 	nothing := func(*Client) {}
-	Convey("A connection whose answer was read whole is used again", t, func() {
+	Convey("A connection whose response was read completely is reused", t, func() {
 		So(exchanges("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", nothing), ShouldEqual, 1)
 	})
-	Convey("One with bytes after the answer is not", t, func() {
+	Convey("One with bytes after the response is not", t, func() {
 		So(exchanges("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", nothing), ShouldEqual, 2)
 	})
 	Convey("One that the endpoint is about to close is not", t, func() {
@@ -196,9 +196,9 @@
 }
 
 func TestEarlyAnswer(t *testing.T) {
-	Convey("An answer before the body is in is passed on, and the connection not used again", t, func() {
-		// The endpoint reads on only after the answer was read: it must be an early one
-		// however fast the body could be written.
+	Convey("A response before the whole body was read is returned, and its connection is not reused", t, func() {
+		// The endpoint reads the rest only after its response was read, so that the response
+		// is an early one however fast the body could be written.
 		release := make(chan struct{})
 		s := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 			if _, err := reader.ReadString('\n'); err != nil {
@@ -226,7 +226,7 @@
 		}
 		So(response.client.idle, ShouldBeEmpty)
 	})
-	Convey("When a call is given up, its request is no longer read and what was sent is its beginning", t, func() {
+	Convey("When a call is canceled, its request is no longer read, and only the start of it was sent", t, func() {
 		const size = 32 << 20
 		got := make(chan []byte, 1)
 		release := make(chan struct{})
@@ -245,7 +245,7 @@
 		}
 		_, err := s.client().Do(ctx, call)
 		So(errors.Is(err, context.Canceled), ShouldBeTrue)
-		// The caller's buffers are used for another request now.
+		// The caller reuses its buffers for another request.
 		copy(body, bytes.Repeat([]byte("b"), size))
 		close(release)
 		sent := <-got
--- a/pkg/endpoint/retire_test.go
+++ b/pkg/endpoint/retire_test.go
@@ -12,7 +12,7 @@
 func TestRetire(t *testing.T) {
 	const unused = 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A client that is not used is dropped, and what is under way on it is not kept", t, func() {
+		Convey("An unused client is retired, and a connection that was in use then is closed when it is released", t, func() {
 			c := &Client{}
 			So(c.Retire(unused), ShouldBeFalse)
 			time.Sleep(unused / 2)
--- a/pkg/endpoint/silence_test.go
+++ b/pkg/endpoint/silence_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// answerOnce answers the first request of a connection, and swallows the rest.
+// answerOnce responds to the first request of a connection and ignores the rest.
 func answerOnce(conn net.Conn) error {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -28,7 +28,7 @@
 }
 
 func TestSilentConnections(t *testing.T) {
-	Convey("After one kept connection was silent, no other that was kept is used", t, func() {
+	Convey("After one reused connection was silent, no other idle connection is used", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		group := errgroup.Group{}
--- a/pkg/endpoint/stream.go
+++ b/pkg/endpoint/stream.go
@@ -6,26 +6,26 @@
 	"io"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// EventStream reads an engine's stream of server-sent events, event by event.
-// It counts tokens, takes the usage event out unless the caller asked for it,
-// and takes for whole only a stream that ends with its end mark.
+// EventStream reads an engine's stream of server-sent events. It counts tokens, removes the
+// usage event unless the caller asked for it, and treats a stream as complete only if it ends
+// with the [DONE] event.
 type EventStream struct {
-	// Source is the body of the engine's answer.
+	// Source is the body of the engine's response.
 	Source io.Reader
-	// KeepUsage passes the usage event on.
+	// KeepUsage leaves the usage event in the stream.
 	KeepUsage bool
-	// Count is called with the number of tokens that each Read passes on.
+	// Count is called with the number of tokens received, as they are read from Source.
 	Count func(tokens int)
 
-	// Usage is the cost the engine stated, and Known whether it did.
+	// Usage is the usage that the engine stated, if UsageKnown.
 	Usage      Usage
 	UsageKnown bool
 
-	// buffer holds what was read: buffer[:ready] may be passed on, the rest is
-	// the beginning of an event.
+	// buffer holds the data read so far: buffer[:ready] is complete events that may be
+	// returned, the rest is the start of an event.
 	buffer []byte
 	ready  int
 	done   bool
@@ -38,8 +38,8 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// Prime waits until there is a first event to pass on. An error before that
-// leaves nothing delivered, so the request may go to another endpoint.
+// Prime waits until a first event can be read. If it fails, nothing was delivered, so the
+// request may be sent to another endpoint.
 func (s *EventStream) Prime() error {
 	for s.ready == 0 && s.err == nil {
 		s.fill()
@@ -50,8 +50,8 @@
 	return s.err
 }
 
-// Read passes on whole events as they come. It returns io.EOF only after the
-// end mark, io.ErrUnexpectedEOF when the stream ended without it.
+// Read returns complete events as they arrive. It returns io.EOF only after the [DONE] event,
+// and io.ErrUnexpectedEOF if the stream ended without it.
 func (s *EventStream) Read(p []byte) (int, error) {
 	for s.ready == 0 {
 		if s.err != nil {
@@ -66,7 +66,7 @@
 	return n, nil
 }
 
-// fill reads once from the source and looks at the events that became whole.
+// fill reads once from the source and handles the events that became complete.
 func (s *EventStream) fill() {
 	if len(s.buffer) > maxEventBytes {
 		s.err = &TooLargeError{Limit: maxEventBytes}
@@ -92,7 +92,7 @@
 	}
 }
 
-// scan looks at the events that are whole and returns their tokens.
+// scan handles the complete events in the buffer and returns the number of their tokens.
 func (s *EventStream) scan() (tokens int) {
 	for {
 		length := bytes.Index(s.buffer[s.ready:], eventEnd)
@@ -130,8 +130,8 @@
 	return s.handleUsage(data)
 }
 
-// lookUsage reads an event with usage. Engines send it alone, without choices,
-// or with the last token.
+// handleUsage reads an event with usage. Engines send usage in an event of its own without
+// choices, or with the last token.
 func (s *EventStream) handleUsage(data []byte) (keep, isToken bool) {
 	var last struct {
 		Usage   *Usage            `json:"usage"`
--- a/pkg/endpoint/stream_test.go
+++ b/pkg/endpoint/stream_test.go
@@ -17,7 +17,7 @@
 	endEvent   = "data: [DONE]\n\n"
 )
 
-// pieces gives a text in pieces of a length, as a network may.
+// pieces returns a text in pieces of a given length, as a network may.
 type pieces struct {
 	text   string
 	length int
@@ -34,7 +34,7 @@
 
 func TestEventStream(t *testing.T) {
 	whole := tokenEvent + tokenEvent + usageEvent + endEvent
-	Convey("However the network cuts a stream into pieces", t, func() {
+	Convey("A stream is read the same however the network cuts it into pieces", t, func() {
 		for length := 1; length <= len(whole); length++ {
 			counted := 0
 			events := &endpoint.EventStream{
@@ -53,7 +53,7 @@
 		So(err, ShouldBeNil)
 		So(string(got), ShouldEqual, whole)
 	})
-	Convey("A stream that ends anywhere before its end mark is cut", t, func() {
+	Convey("A stream that ends anywhere before its [DONE] event is cut off", t, func() {
 		for length := range len(whole) - 1 {
 			_, err := io.ReadAll(&endpoint.EventStream{Source: strings.NewReader(whole[:length])})
 			So(err, ShouldEqual, io.ErrUnexpectedEOF)
@@ -61,8 +61,8 @@
 	})
 }
 
-// FuzzEventStream holds that nothing is passed on that the source did not say,
-// and that only a stream with an end mark is whole.
+// FuzzEventStream checks that only data from the source is returned, and that only a stream
+// with a [DONE] event is complete.
 func FuzzEventStream(f *testing.F) {
 	f.Add([]byte(tokenEvent+usageEvent+endEvent), 7)
 	f.Add([]byte("data:\n\n\n\ndata: {\"usage\":{\n\n"), 1)
@@ -73,15 +73,15 @@
 		source := &pieces{text: string(text), length: length}
 		got, err := io.ReadAll(&endpoint.EventStream{Source: source, KeepUsage: true})
 		if !bytes.HasPrefix(text, got) {
-			t.Fatalf("passed on %q of %q", got, text)
+			t.Fatalf("returned %q of %q", got, text)
 		}
 		if err == nil && !bytes.Contains(got, []byte("[DONE]")) {
-			t.Fatalf("took %q for whole", text)
+			t.Fatalf("accepted %q as complete", text)
 		}
 	})
 }
 
-// BenchmarkEventStream shows the allocations for each streamed event.
+// BenchmarkEventStream measures the allocations for each streamed event.
 func BenchmarkEventStream(b *testing.B) {
 	text := strings.Repeat(tokenEvent, 1000) + endEvent
 	into := make([]byte, 4096)
--- a/pkg/keepalive/keepalive.go
+++ b/pkg/keepalive/keepalive.go
@@ -1,6 +1,6 @@
-// Package keepalive makes connections that do not stay silent for good: a peer that
-// lost power or was cut off sends no reset, and new connections may work all the
-// while. The operating system then ends the connection with an error.
+// Package keepalive makes TCP connections that detect a dead peer. A peer that lost power or
+// was cut off from the network sends no reset, and new connections to it may work in the
+// meantime. The operating system ends a silent connection with an error.
 package keepalive
 
 import (
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// probes are the questions that a silence holds, besides the time before the first.
+// probeCount is the number of probes sent within the timeout, after the initial idle time.
 const probeCount = 2
 
-// config divides a silence among probes. The system counts in whole seconds and takes
-// parts of one for a whole one.
+// keepAliveConfig divides a timeout among the initial idle time and the probes. The system
+// counts in whole seconds and rounds up.
 func keepAliveConfig(silenceTimeout time.Duration) net.KeepAliveConfig {
 	step := silenceTimeout / (probeCount + 1)
 	return net.KeepAliveConfig{Enable: true, Idle: step, Interval: step, Count: probeCount}
 }
 
-// Dialer connects within a time. Its connections end after a silence: with data that
-// is not acknowledged, or at rest.
+// Dialer returns a dialer whose connections fail after silenceTimeout without a sign of the
+// peer, whether sent data is unacknowledged or the connection is idle.
 func Dialer(connectTimeout, silenceTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         connectTimeout,
@@ -29,8 +29,8 @@
 	}
 }
 
-// Listen listens on a TCP address. Its connections end after a silence while they are
-// at rest; what is not acknowledged is left to the deadlines of those who write.
+// Listen listens on a TCP address. Accepted connections fail after silenceTimeout while idle;
+// unacknowledged data is left to the write deadlines of their users.
 func Listen(address string, silenceTimeout time.Duration) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAliveConfig(silenceTimeout)}
 	return config.Listen(context.Background(), "tcp", address)
--- a/pkg/keepalive/keepalive_test.go
+++ b/pkg/keepalive/keepalive_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestConnections(t *testing.T) {
-	Convey("Both ends ask in time whether the other one is there", t, func() {
+	Convey("Both ends probe the connection within the timeout", t, func() {
 		listener, err := Listen("127.0.0.1:0", 9*time.Second)
 		So(err, ShouldBeNil)
 		defer listener.Close()
--- a/pkg/keepalive/user_timeout_linux.go
+++ b/pkg/keepalive/user_timeout_linux.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout has the kernel give a connection up when what was sent is not
-// acknowledged for so long, as behind a cut.
+// userTimeout makes the kernel end a connection whose sent data is not acknowledged for so
+// long, for example because the network is partitioned.
 func userTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(network, address string, raw syscall.RawConn) (err error) {
 		controlErr := raw.Control(func(fd uintptr) {
--- a/pkg/keepalive/user_timeout_other.go
+++ b/pkg/keepalive/user_timeout_other.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// userTimeout is only known on Linux; elsewhere probes alone tell of silence.
+// userTimeout is only available on Linux; elsewhere only the probes detect a dead peer.
 func userTimeout(time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return nil
 }
