--- a/pkg/rollout/evaluator.go
+++ b/pkg/rollout/evaluator.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Tally counts the answers to the requests of one route, by version.
+// Tally counts the responses to requests of one route: those of the target version and those
+// of the old ones.
 type Tally struct {
 	TargetGood, TargetBad, OldGood, OldBad uint64
 }
 
-// Add adds another tally's counts.
+// Add adds the counts of another tally.
 func (t *Tally) Add(other Tally) {
 	t.TargetGood += other.TargetGood
 	t.TargetBad += other.TargetBad
@@ -18,81 +19,82 @@
 	t.OldBad += other.OldBad
 }
 
-// Counts are what boxes saw of an order, together, since it was given.
+// Counts are the observations of all boxes since an order was given.
 type Counts struct {
-	// Routes are by name.
+	// Routes are the tallies by route name.
 	Routes map[string]Tally
-	// OldRunning is the number of requests under way at endpoints of other versions.
+	// OldRunning is the number of requests that run at endpoints of other versions.
 	OldRunning int
 }
 
-// Judge finds out whether a version is as good as those before, from counts that grow. It
-// sums the evidence that the version is bad, for each route and for all together: an answer
-// counts by how much likelier it is from a bad version than from one like the others, and
-// evidence for a good one takes no more than all of it away. So it finds a version that turns
-// bad late, or under load only. It is not safe for concurrent use.
+// Evaluator decides by a sequential test whether a version is as good as the previous ones. It
+// sums the logarithm of the likelihood ratio of each response, bad version against good
+// version, for each route and for all routes together. The sum never falls below 0, so it also
+// detects a version that turns bad late or only under load. It is not safe for concurrent use.
 type Evaluator struct {
 	Order Order
 
 	verdict Verdict
-	// since is when the verdict came.
+	// since is when the verdict was reached.
 	since time.Time
-	// routes hold the evidence by route, the empty name that of all.
+	// routes holds the evidence by route, and that of all routes under the empty name.
 	routes map[string]*evidence
-	// answered counts the target's answers.
+	// responses counts the responses of the target.
 	responses uint64
 }
 
-// evidence is what speaks against the target on one route.
+// evidence is the evidence against the target on one route.
 type evidence struct {
 	lastTally Tally
-	// oldGood and oldBad are the others' of late.
+	// oldGood and oldBad are the decayed counts of recent responses of other versions.
 	oldGood, oldBad float64
 	oldAt           time.Time
-	// against is the logarithm of how much likelier the target's last answers are from a bad
-	// version; at least 0.
+	// logRatio is the logarithm of how much likelier the recent responses of the target are
+	// from a bad version; at least 0.
 	logRatio float64
 }
 
 const (
-	// alarm is the evidence at which a version counts as bad: about one in a thousand good
-	// ones gets there with a thousand answers.
+	// alarmThreshold is the evidence at which a version counts as bad. About one in a thousand
+	// good versions reaches it within a thousand responses.
 	alarmThreshold = 9.0
-	// badFactor and badMore make the share of bad answers of the version that is looked for
-	// out of the others'; badMost bounds it.
+	// badFactor and badExtra derive the share of bad responses that a bad version is assumed
+	// to have from that of the old versions; maxBadShare bounds it.
 	badFactor   = 2.5
 	badExtra    = 0.12
 	maxBadShare = 0.95
-	// priorBad and priorAnswers stand for what is not known of the others yet.
+	// priorBad and priorResponses are the assumed bad share of the old versions and its weight
+	// until responses were counted.
 	priorBad       = 0.02
 	priorResponses = 50
-	// oldMemory is the time over which the others' answers count: endpoints of all versions
-	// may fail for a while.
+	// oldDecayTime is the time constant with which old versions' responses lose weight, since
+	// endpoints of all versions may fail for a while.
 	oldDecayTime = 4 * time.Second
-	// leastAnswers have to be seen of a version before it is approved in time, and
-	// fewestAnswers after lastProof, a part of the time for the move.
+	// minResponses are required to approve a version after proofFraction of the roll-out's
+	// time, and minLateResponses after lateProofFraction of it.
 	minResponses      = 60
 	minLateResponses  = 5
 	lateProofFraction = 0.6
-	// settleFor is how long all requests go to the target before the move is completed.
+	// settleDelay is how long all requests go to the target before the roll-out is completed.
 	settleDelay = 500 * time.Millisecond
-	// reserve is the part of the time for the move that is left for completing it: the endpoints of
-	// other versions end then, with what still runs there.
+	// completionReserve is the fraction of the roll-out's time that is reserved for completing
+	// it. The endpoints of other versions end then, with the requests that still run there.
 	completionReserve = 0.1
 )
 
-// Verdict is what holds, and since when.
+// Verdict returns the current verdict and when it was reached.
 func (ev *Evaluator) Verdict() (v Verdict, since time.Time) { return ev.verdict, ev.since }
 
-// Adopt takes what another box decided. What is final stays, whatever the store says.
+// Adopt takes over the verdict of another box. A final verdict never changes, whatever the
+// store states.
 func (ev *Evaluator) Adopt(v Verdict, now time.Time) {
 	if v > ev.verdict && !ev.verdict.IsFinal() {
 		ev.verdict, ev.since = v, now
 	}
 }
 
-// Decide takes the counts as of now, and tells what holds. It says Moved and Halted where the
-// order may be completed, or has to be rolled back; that it is is for Adopt.
+// Evaluate updates the verdict from the counts as of now. Moved and Halted mean that the order
+// may be completed or has to be rolled back; Completed and RolledBack are only set by Adopt.
 func (ev *Evaluator) Evaluate(counts Counts, now time.Time) Verdict {
 	if ev.verdict >= Halted {
 		return ev.verdict
@@ -107,7 +109,7 @@
 	elapsed := float64(now.Sub(ev.Order.SeenAt)) / float64(ev.Order.Within)
 	switch {
 	case ev.verdict == Proving && elapsed >= 1:
-		// Nothing is known of it: the others go on.
+		// There were too few responses to prove the version in time, so the old versions stay.
 		ev.Adopt(Halted, now)
 	case ev.verdict == Proving && ev.isProved(elapsed):
 		ev.Adopt(Approved, now)
@@ -117,19 +119,19 @@
 	return ev.verdict
 }
 
-// proved tells whether enough was seen of a version for sending it more.
+// isProved reports whether there were enough responses of the target to send it more requests.
 func (ev *Evaluator) isProved(elapsed float64) bool {
 	return (elapsed >= proofFraction && ev.responses >= minResponses) || (elapsed >= lateProofFraction && ev.responses >= minLateResponses)
 }
 
-// moved tells whether all requests go to the target, and none run elsewhere that there is
-// time to wait for.
+// isMoved reports whether all requests go to the target and none run at other versions. When
+// the reserve for the completion begins, it no longer waits for those that do.
 func (ev *Evaluator) isMoved(counts Counts, elapsed float64, now time.Time) bool {
 	full := ev.since.Add(time.Duration(rampFraction * float64(ev.Order.Within))).Add(settleDelay)
 	return now.After(full) && (counts.OldRunning == 0 || elapsed >= 1-completionReserve)
 }
 
-// learn takes the counts, and tells whether they show a bad version.
+// update adds the counts and reports whether they show a bad version.
 func (ev *Evaluator) update(counts Counts, now time.Time) (bad bool) {
 	if ev.routes == nil {
 		ev.routes = map[string]*evidence{}
@@ -153,8 +155,8 @@
 	return e
 }
 
-// learn takes a route's counts. A box that is gone takes its counts with it: fewer than
-// before are no news.
+// update adds a route's counts and reports whether they show a bad version. The counts of a
+// box that disappears are lost: lower counts than before add nothing.
 func (e *evidence) update(now Tally, at time.Time) (bad bool) {
 	fade := math.Exp(-at.Sub(e.oldAt).Seconds() / oldDecayTime.Seconds())
 	e.oldGood = e.oldGood*fade + increase(now.OldGood, e.lastTally.OldGood)
@@ -163,7 +165,7 @@
 	oldShare := (e.oldBad + priorBad*priorResponses) / (e.oldGood + e.oldBad + priorResponses)
 	badShare := min(maxBadShare, max(badFactor*oldShare, oldShare+badExtra))
 	if badShare <= oldShare {
-		// All fail: nothing tells the versions apart.
+		// All responses fail, so the versions cannot be distinguished.
 		oldShare = badShare / badFactor
 	}
 	e.logRatio += increase(now.TargetBad, e.lastTally.TargetBad) * math.Log(badShare/oldShare)
--- a/pkg/rollout/response_stats.go
+++ b/pkg/rollout/response_stats.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Answers judges single answers by how long they took, against what those of other versions
-// take on the same route, and counts them. The zero value is ready. It is not safe for
-// concurrent use.
+// ResponseStats classifies responses as good or bad, and counts them by route. A response is
+// bad if it failed or took much longer than those of other versions on the same route. The
+// zero value is ready to use. It is not safe for concurrent use.
 type ResponseStats struct {
 	routes map[string]*routeStats
 }
 
 type routeStats struct {
 	Tally
-	// typical is a mean of the time that answers of other versions take.
+	// meanTime is a moving average of the response time of other versions.
 	meanTime time.Duration
 }
 
 const (
-	// slowFactor times the typical time makes an answer bad.
+	// slowFactor times the mean time makes a response bad.
 	slowFactor = 3
-	// typicalGain is the weight of the newest answer in the mean.
+	// meanTimeGain is the weight of the newest response in the average.
 	meanTimeGain = 0.05
 )
 
-// Note counts an answer. Took is 0 where that is not known.
-func (a *ResponseStats) Record(route string, target, failed bool, took time.Duration) {
-	if a.routes == nil {
-		a.routes = map[string]*routeStats{}
+// Record counts a response. Took is 0 if unknown.
+func (s *ResponseStats) Record(route string, target, failed bool, took time.Duration) {
+	if s.routes == nil {
+		s.routes = map[string]*routeStats{}
 	}
-	r := a.routes[route]
+	r := s.routes[route]
 	if r == nil {
 		r = &routeStats{}
-		a.routes[route] = r
+		s.routes[route] = r
 	}
 	bad := failed || (r.meanTime > 0 && took > slowFactor*r.meanTime)
 	switch {
@@ -51,11 +51,11 @@
 	}
 }
 
-// Counts are those so far.
-func (a *ResponseStats) Tallies() map[string]Tally {
-	counts := make(map[string]Tally, len(a.routes))
-	for route, r := range a.routes {
-		counts[route] = r.Tally
+// Tallies returns the counts so far, by route.
+func (s *ResponseStats) Tallies() map[string]Tally {
+	tallies := make(map[string]Tally, len(s.routes))
+	for route, r := range s.routes {
+		tallies[route] = r.Tally
 	}
-	return counts
+	return tallies
 }
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout decides how far the requests of a service go to a new version of its
-// endpoints, and whether that version is as good as the ones before. It is pure: answers in,
-// verdicts out, with the time as an argument.
+// Package rollout decides which share of a service's requests goes to a new version of its
+// endpoints, and whether that version is as good as the previous ones. It performs no I/O and
+// reads no clock: the time is an argument.
 package rollout
 
 import (
@@ -14,46 +14,47 @@
 	Service string
 	// Target is the version to move to.
 	Target string
-	// Version is the store's counter at the order's last change. It names the order.
+	// Version is the store's counter at the last change of the order. It identifies the order.
 	Version epoch.Version
-	// Within is the time in which the move is to be over.
+	// Within is the time in which the roll-out has to be over.
 	Within time.Duration
-	// SeenAt is when a box first knew of the order.
+	// SeenAt is when a box first received the order.
 	SeenAt time.Time
 }
 
-// IsSame tells whether another order says the same, be it written anew or not.
+// IsSame reports whether another order has the same content, even if it was written again.
 func (o Order) IsSame(other Order) bool {
 	return o.Service == other.Service && o.Target == other.Target && o.Within == other.Within
 }
 
-// Renews tells whether this is the other order, written again after the store was restored.
+// IsRewriteOf reports whether this is the other order, written again after the store was
+// restored.
 func (o Order) IsRewriteOf(other Order) bool {
 	return o.IsSame(other) && other.Version.HasEarlierEpochThan(o.Version)
 }
 
-// Verdict is what was decided of an order. They are in the order in which a later one
-// replaces an earlier one. Completed and RolledBack are final and never both: boxes tell them
-// only once the store has taken one, and it takes one only.
+// Verdict is the state that was decided for an order. A verdict is only replaced by a higher
+// one. Completed and RolledBack are final and exclude each other: boxes report them only after
+// the store has accepted one, and it accepts only one.
 type Verdict uint32
 
-// The verdicts.
+// The verdicts, in the order in which they replace each other.
 const (
-	// Proving orders have a small part of the requests go to the target.
+	// Proving: a small share of the requests goes to the target.
 	Proving Verdict = iota
-	// Approved ones have that part grow to all.
+	// Approved: that share grows until it is all requests.
 	Approved
-	// Moved ones have all go there, and may be completed.
+	// Moved: all requests go to the target, and the order may be completed.
 	Moved
-	// Halted ones have none go there, and are to be rolled back.
+	// Halted: no requests go to the target, and the order has to be rolled back.
 	Halted
-	// Completed ones are over; endpoints of other versions end.
+	// Completed: the order is over, and endpoints of other versions are stopped.
 	Completed
-	// RolledBack ones are over; those of the target end.
+	// RolledBack: the order is over, and endpoints of the target are stopped.
 	RolledBack
 )
 
-// String names the verdict in logs.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	switch v {
 	case Proving:
@@ -72,10 +73,10 @@
 	return "unknown"
 }
 
-// Final tells whether nothing follows it.
+// IsFinal reports whether the verdict can no longer change.
 func (v Verdict) IsFinal() bool { return v == Completed || v == RolledBack }
 
-// Word is a verdict as boxes tell it to each other.
+// VerdictReport is a verdict as boxes report it to each other.
 type VerdictReport struct {
 	Service string
 	// Order is the version of the order.
@@ -83,33 +84,35 @@
 	Verdict Verdict
 }
 
-// Side is the endpoints of a service that a request may go to, by their version. The zero
-// value admits all.
+// VersionFilter selects the endpoints of a service to which a request may be sent, by their
+// version. The zero value admits all.
 type VersionFilter struct {
-	// Version is the one that is meant; empty means any.
+	// Version is the selected version; empty means any.
 	Version string
-	// Others admits all but that one.
+	// Others selects all versions but that one.
 	Others bool
 }
 
-// Admits tells whether an endpoint of a version is among them.
-func (s VersionFilter) Admits(version string) bool {
-	return s.Version == "" || (version == s.Version) != s.Others
+// Admits reports whether endpoints of a version are selected.
+func (f VersionFilter) Admits(version string) bool {
+	return f.Version == "" || (version == f.Version) != f.Others
 }
 
 const (
-	// provingShare is the part of the requests that prove a version: half of what a bad
-	// one may get by the users' rule, as some are sent before boxes know that it is bad.
+	// provingShare is the share of requests that go to a version while it is proved. It is
+	// half of what a bad version may get by the users' rule, since some requests are sent
+	// before boxes know that it is bad.
 	provingShare = 0.05
-	// provedAfter and rampFor are parts of the time for the move. A version that fails only
-	// under load does so while its share grows; with these it has had less than a tenth of
-	// all requests up to a share of six tenths.
+	// proofFraction and rampFraction are fractions of the roll-out's time: how long a version
+	// is proved, and how long its share then grows. A version that fails only under load fails
+	// while its share grows; with these fractions it has received less than a tenth of all
+	// requests by the time its share reaches six tenths.
 	proofFraction = 0.45
 	rampFraction  = 0.3
 )
 
-// Share is the part of the requests that goes to the target, by a verdict that came at a
-// time.
+// Share returns the share of requests that goes to the target, given the verdict and when it
+// was reached.
 func (o *Order) Share(v Verdict, since, now time.Time) float64 {
 	switch v {
 	case Proving:
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -9,19 +9,20 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// version is a drawn one: how its answers fail, where those of the others do not fail more.
+// version is a simulated version, by the share of its responses that fail. It is at least that
+// of the other versions.
 type version struct {
 	name string
-	// bad is the part of its answers that fail, by the time since the order, the part of
-	// the requests that it gets, and the route.
+	// bad returns the share of failing responses, by the time since the order, the version's
+	// share of the requests, and the route.
 	bad func(passed time.Duration, share float64, route string) float64
 }
 
-// oldBad is the part of the answers of other versions that fail.
+// oldBad is the share of failing responses of other versions.
 const oldBad = 0.02
 
 var (
-	// goodVersion fails as the others do.
+	// goodVersion fails as often as the other versions.
 	goodVersion = version{"good", func(time.Duration, float64, string) float64 { return 0 }}
 	badVersions = []version{
 		{"from the start", func(time.Duration, float64, string) float64 { return 0.3 }},
@@ -47,14 +48,14 @@
 	}
 )
 
-// rule decides by counts; Judge is one.
+// rule reaches a verdict from counts; Evaluator is one.
 type rule interface {
 	Evaluate(Counts, time.Time) Verdict
 	Verdict() (Verdict, time.Time)
 }
 
-// fixedRatio is the rule that was weighed against Judge: a version is bad once a fixed part
-// of a least number of its answers is.
+// fixedRatio is the simpler rule that Evaluator is compared with: a version is bad once a
+// fixed share of its responses is, given a minimum number of them.
 type fixedRatio struct {
 	Evaluator
 }
@@ -79,21 +80,21 @@
 	return f.Evaluator.Evaluate(Counts{Routes: quiet, OldRunning: counts.OldRunning}, now)
 }
 
-// played is what came of one drawn roll-out.
+// simulationResult is the outcome of one simulated roll-out.
 type simulationResult struct {
 	verdict Verdict
 	after   time.Duration
-	// exposed is the part of all requests up to the end of the time that went to the
-	// version, and badAnswers those of them that failed.
-	exposed    float64
-	badAnswers int
-	// lateBad are the requests sent there more than five seconds after the fiftieth bad
-	// answer.
+	// exposed is the share of all requests within the roll-out's time that went to the
+	// version, and badResponses counts those of them that failed.
+	exposed      float64
+	badResponses int
+	// lateBad counts the requests sent to the version more than five seconds after the
+	// fiftieth bad response.
 	lateBad int
 }
 
-// play has a rule decide on a drawn version, told twice a second, with some requests a
-// second on two routes.
+// simulate runs a roll-out of a version, with a number of requests per second on two routes.
+// The rule evaluates the counts twice a second.
 func simulate(r rule, order Order, v version, perSecond int, oldFails float64, draw *rand.Rand) (got simulationResult) {
 	const step, evaluateInterval = 20 * time.Millisecond, 500 * time.Millisecond
 	counts := Counts{Routes: map[string]Tally{}}
@@ -128,11 +129,11 @@
 					}
 					if draw.Float64() < max(v.bad(passed, share, route), oldFails) {
 						tally.TargetBad++
-						got.badAnswers++
+						got.badResponses++
 					} else {
 						tally.TargetGood++
 					}
-					if got.badAnswers >= 50 && fiftieth < 0 {
+					if got.badResponses >= 50 && fiftieth < 0 {
 						fiftieth = passed
 					}
 				}
@@ -149,11 +150,11 @@
 	return Order{Service: "llm", Target: "v2", Version: 7, Within: 12 * time.Second, SeenAt: time.Unix(1000, 0)}
 }
 
-// draws is the number of drawn roll-outs of each kind.
+// draws is the number of simulated roll-outs of each kind.
 const draws = 40
 
 func TestJudge(t *testing.T) {
-	Convey("Bad versions are rolled back, with a tenth of the requests at the most", t, func() {
+	Convey("Bad versions are rolled back after at most a tenth of the requests", t, func() {
 		for _, v := range badVersions {
 			for _, perSecond := range []int{200, 800} {
 				for seed := range uint64(draws) {
@@ -165,7 +166,7 @@
 			}
 		}
 	})
-	Convey("Good versions have all requests in time", t, func() {
+	Convey("Good versions receive all requests in time", t, func() {
 		for _, oldFails := range []float64{0, oldBad, 0.2} {
 			for seed := range uint64(draws) {
 				got := simulate(&Evaluator{Order: testOrder()}, testOrder(), goodVersion, 800, oldFails, rand.New(rand.NewPCG(seed, 2)))
@@ -173,25 +174,25 @@
 			}
 		}
 	})
-	Convey("One that all but few requests pass by is decided on by those few", t, func() {
+	Convey("A good version with few requests is approved by those few", t, func() {
 		for seed := range uint64(draws) {
 			good := simulate(&Evaluator{Order: testOrder()}, testOrder(), goodVersion, 100, 0, rand.New(rand.NewPCG(seed, 3)))
 			So(good.verdict, ShouldEqual, Moved)
 		}
 	})
-	Convey("One that gets no requests is rolled back when the time is over", t, func() {
+	Convey("A version without requests is rolled back when the time is over", t, func() {
 		evaluator := &Evaluator{Order: testOrder()}
 		at := testOrder().SeenAt
 		So(evaluator.Evaluate(Counts{}, at.Add(11*time.Second)), ShouldEqual, Proving)
 		So(evaluator.Evaluate(Counts{}, at.Add(12*time.Second)), ShouldEqual, Halted)
 	})
-	Convey("What is final stays", t, func() {
+	Convey("A final verdict does not change", t, func() {
 		evaluator := &Evaluator{Order: testOrder()}
 		evaluator.Adopt(RolledBack, testOrder().SeenAt)
 		evaluator.Adopt(Completed, testOrder().SeenAt)
 		So(evaluator.verdict, ShouldEqual, RolledBack)
 	})
-	Convey("A box that takes over and knows less takes nothing back", t, func() {
+	Convey("Lower counts, as from a box that takes over, do not change the evidence", t, func() {
 		e := &evidence{}
 		e.update(Tally{TargetGood: 10, TargetBad: 2, OldGood: 50}, time.Unix(1, 0))
 		before := e.logRatio
@@ -200,7 +201,7 @@
 	})
 }
 
-// TestRules prints what both rules come to on the same draws.
+// TestRules logs how both rules perform on the same simulations.
 func TestRules(t *testing.T) {
 	kinds := append([]version{goodVersion}, badVersions...)
 	for _, oldFails := range []float64{oldBad, 0.2} {
@@ -227,7 +228,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	Convey("An answer several times slower than those of other versions is bad", t, func() {
+	Convey("A response several times slower than those of other versions is bad", t, func() {
 		a := ResponseStats{}
 		for range 20 {
 			a.Record("r", false, false, 50*time.Millisecond)
@@ -240,7 +241,7 @@
 }
 
 func TestSide(t *testing.T) {
-	Convey("A side admits one version, all others, or any", t, func() {
+	Convey("A filter admits one version, all others, or any", t, func() {
 		So(VersionFilter{}.Admits("v1"), ShouldBeTrue)
 		So(VersionFilter{Version: "v2"}.Admits("v1"), ShouldBeFalse)
 		So(VersionFilter{Version: "v2"}.Admits("v2"), ShouldBeTrue)
--- a/pkg/route/catalog.go
+++ b/pkg/route/catalog.go
@@ -1,5 +1,6 @@
-// Package route holds what the operator has accepted: which requests lead to
-// which service, who may send them, and the bounds they are held to.
+// Package route holds the configuration that the operator has accepted: which requests are
+// routed to which service, who may send them, and their limits. It also holds the known
+// endpoints and the operator's orders.
 package route
 
 import (
@@ -11,17 +12,16 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// Catalog is one accepted configuration. It is not changed once Index was
-// called, so it may be read by many goroutines.
+// Catalog is one accepted configuration. It is immutable after Index was called, so it may be
+// used concurrently.
 type Catalog struct {
-	// Version rises with each accepted configuration.
+	// Version increases with each accepted configuration.
 	Version uint64
-	// Routes lead requests to services.
+	// Routes assign requests to services.
 	Routes []Route
-	// Services are by name.
+	// Services are indexed by name.
 	Services map[string]Service
-	// Customers are those whose keys are accepted. When there are none, no key
-	// is asked for.
+	// Customers are those whose keys are accepted. If there are none, no key is required.
 	Customers []Customer
 	// Limits bound what callers may send.
 	Limits Limits
@@ -30,70 +30,70 @@
 	byKey  map[string]*Customer
 }
 
-// Route is one entry of a Catalog.
+// Route is one routing rule of a Catalog.
 type Route struct {
 	Name string
-	// Host is the lower-case name that callers address.
+	// Host is the lower-case host name of the requests.
 	Host string
-	// Prefix begins the paths of the route; it starts and ends with a slash.
+	// Prefix is the path prefix of the requests; it starts and ends with a slash.
 	Prefix string
-	// Targets are the services that share the route's requests; at least one.
+	// Targets are the services among which the requests are split; at least one.
 	Targets []Target
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Streaming routes answer with a series of events.
+	// Streaming routes respond with a stream of events.
 	Streaming bool
 	// Resumable streams may be continued at another endpoint.
 	Resumable bool
 	// Anonymous routes need no key.
 	Anonymous bool
-	// Timeout is the longest that a request is held; 0 means no bound.
+	// Timeout bounds how long a request is held; 0 means no bound.
 	Timeout time.Duration
-	// Aim is the time within which an answer, or a stream's first event, is
-	// worth most.
+	// LatencyTarget is the time within which a response, or the first event of a stream,
+	// should come.
 	LatencyTarget time.Duration
-	// PauseAim is the longest pause between events that keeps a stream in time.
+	// GapTarget is the longest time between two events with which a stream counts as in time.
 	GapTarget time.Duration
-	// MaxAttempts is the largest number of endpoints one request is sent to; at
-	// least 1.
+	// MaxAttempts bounds the number of endpoints that one request is sent to; at least 1.
 	MaxAttempts int
-	// Priority is the rank of the route's requests; 0 is the highest.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Homes are the regions in which its requests may be served; none means all.
+	// AllowedRegions are the regions in which the requests may run; none means all.
 	AllowedRegions []string
 }
 
-// Target is a service that takes a part of a route's requests.
+// Target is a service that receives a fraction of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the part, relative to the other targets.
+	// Weight is the fraction, relative to the weights of the other targets.
 	Weight float64
 }
 
 // Service is a group of endpoints that do the same work.
 type Service struct {
 	Name string
-	// HealthPath answers whether an endpoint thinks itself well.
+	// HealthPath is the path at which an endpoint reports whether it is healthy.
 	HealthPath string
-	// MaxConns is how many connections one endpoint takes from all callers.
+	// MaxConns is the number of connections that one endpoint accepts from all callers
+	// together.
 	MaxConns int
 	// Engine is set for model engines; nil means a plain service.
 	Engine *Engine
-	// Cold is what its endpoints take after a start.
+	// ColdStart is what its endpoints can handle just after a start.
 	ColdStart ColdStart
 }
 
-// Cold is what the operator states of endpoints that have just started.
+// ColdStart is the operator's limit for endpoints that have just started.
 type ColdStart struct {
-	// For is how long they are cold.
+	// Duration is how long an endpoint is cold after its start.
 	Duration time.Duration
-	// PerSecond is the number of requests a second that they bear meanwhile; 0 means that
-	// they bear as many as ever.
+	// MaxPerSecond is the number of requests per second that a cold endpoint can handle; 0
+	// means no limit.
 	MaxPerSecond float64
 }
 
-// Bound is how much a cold endpoint takes in any second, where the fleet may go beyond
-// what it bears by a factor and some requests more.
+// Bound returns the limit for a cold endpoint. The fleet may exceed MaxPerSecond by a factor
+// and some extra requests.
 func (c ColdStart) Bound(factor, extra float64) lifecycle.Bound {
 	if c.MaxPerSecond <= 0 {
 		return lifecycle.Bound{}
@@ -101,23 +101,23 @@
 	return lifecycle.Bound{Duration: c.Duration, MaxPerSecond: c.MaxPerSecond*factor + extra}
 }
 
-// Engine is what is known of the model engines of a service.
+// Engine describes the model engines of a service.
 type Engine struct {
 	// Slots is the number of requests that one engine runs at once.
 	Slots int
-	// CacheTokens is one engine's memory for running requests and kept prompts.
+	// CacheTokens is the memory of one engine for running requests and cached prompts.
 	CacheTokens int
 }
 
 // Customer is one customer of the operator.
 type Customer struct {
 	Name string
-	// Keys are the secrets that its requests carry.
+	// Keys are the API keys that its requests carry.
 	Keys []string
-	// Priority goes before that of the route; nil means that the route's holds.
+	// Priority overrides that of the route; nil means that the route's applies.
 	Priority *int
-	// Homes are the regions in which its requests may be served, beside those of the
-	// route; none means all.
+	// AllowedRegions are the regions in which its requests may run, in addition to the
+	// restriction of the route; none means all.
 	AllowedRegions []string
 }
 
@@ -127,12 +127,12 @@
 	BodyBytes     int
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// TokensPerSecond is what the engines produce together, a token read
-	// counted once and a token made twice. Customers share it evenly.
+	// TokensPerSecond is the throughput of all engines together. An input token counts once,
+	// an output token twice. Customers share it evenly.
 	TokensPerSecond float64
 }
 
-// Index prepares the lookups. It has to be called once, before the first.
+// Index builds the lookup tables. It must be called once, before the first lookup.
 func (c *Catalog) Index() {
 	c.byHost = map[string][]*Route{}
 	for i := range c.Routes {
@@ -152,8 +152,7 @@
 	}
 }
 
-// Find returns the route of a host with the longest prefix of the path; nil
-// means that there is none.
+// Find returns the route of a host with the longest matching path prefix, or nil.
 func (c *Catalog) Find(host, path string) *Route {
 	for _, candidate := range c.byHost[NormalizeHost(host)] {
 		if strings.HasPrefix(path, candidate.Prefix) {
@@ -163,7 +162,7 @@
 	return nil
 }
 
-// NormalizeHost is the form in which hosts are compared: without a port and in
+// NormalizeHost returns a host in the form in which hosts are compared: without a port and in
 // lower case.
 func NormalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
@@ -172,12 +171,13 @@
 	return strings.ToLower(host)
 }
 
-// CustomerOf returns the customer that holds a key; nil means that none does.
+// CustomerOf returns the customer that has a key, or nil.
 func (c *Catalog) CustomerOf(key string) *Customer {
 	return c.byKey[key]
 }
 
-// Pick chooses one of the targets by weight; at is evenly spread over [0, 1).
+// Pick returns one of the target services by weight. Point is uniformly distributed over
+// [0, 1).
 func (r *Route) Pick(point float64) string {
 	total := 0.0
 	for _, target := range r.Targets {
--- a/pkg/route/directory.go
+++ b/pkg/route/directory.go
@@ -9,54 +9,54 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// Directory is what is known of the endpoints of all services. It is not changed once it is
-// in use: a newer one shares all that did not change with it, so that what a change costs
-// does not grow with the number of endpoints. Nil knows none.
+// Directory holds the known endpoints of all services. It is immutable. A newer one shares all
+// unchanged nodes with it, so the cost of a change does not grow with the number of endpoints.
+// A nil Directory is empty.
 type Directory struct {
-	// byID holds all endpoints, and services those of each service, by name: they are in the
-	// order of their hashes.
+	// byID holds all endpoints. services holds those of each service, by name, ordered by
+	// their hashes.
 	byID     *btree.BTreeG[*Endpoint]
 	services map[string]*btree.BTreeG[*Endpoint]
 }
 
-// Endpoint is one server of a service. Another start of it may have the same ID: Born
-// tells them apart.
+// Endpoint is one server of a service. A later instance may have the same ID; Born
+// distinguishes them.
 type Endpoint struct {
 	ID      string
 	Service string
 	// Address is IP and port. Another endpoint may have it later.
 	Address string
 	Zone    string
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that it runs at once.
 	Slots int
-	// Release is the version of its software; empty where it does not tell.
+	// Release is the version of its software; empty if unknown.
 	Release string
-	// Hash is of the ID; it spreads endpoints over groups.
+	// Hash is the hash of the ID by which endpoints are divided into groups.
 	Hash uint64
 	lifecycle.Facts
 }
 
-// Renews tells whether this account of an endpoint is of a later start than another one.
-// Where neither tells its start, another address does.
+// IsNewerInstanceThan reports whether this entry is of a later instance of the endpoint than
+// another entry. If the start times do not tell which is later, a different address decides.
 func (e *Endpoint) IsNewerInstanceThan(other *Endpoint) bool {
 	return e.Supersedes(&other.Facts) || (!e.Outdated(&other.Facts) && e.Address != other.Address)
 }
 
-// Change is of one endpoint: what was known of it and what is, either nil where it is not
-// listed. Neither is changed later.
+// Change is the change of one endpoint from Before to After; either is nil if the endpoint is
+// not listed. Neither is modified later.
 type Change struct {
 	Before, After *Endpoint
 }
 
-// treeDegree makes nodes of up to 31 endpoints: a change copies two or three of them.
+// treeDegree gives nodes of up to 31 endpoints; a change copies two or three nodes.
 const treeDegree = 16
 
 func lessByID(a, b *Endpoint) bool { return a.ID < b.ID }
 
 func lessByHash(a, b *Endpoint) bool { return a.Hash < b.Hash || (a.Hash == b.Hash && a.ID < b.ID) }
 
-// With is the directory after some changes, and which of them there were: each has its
-// Before set to what was known.
+// With returns the directory after the requested changes, and those of them that had an
+// effect, each with Before set to the previous entry.
 func (d *Directory) With(requested []Change) (next *Directory, changes []Change) {
 	next = &Directory{services: map[string]*btree.BTreeG[*Endpoint]{}}
 	if d == nil {
@@ -110,7 +110,7 @@
 	return found, false
 }
 
-// Len is the number of endpoints.
+// Len returns the number of endpoints.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
@@ -118,7 +118,7 @@
 	return d.byID.Len()
 }
 
-// All are the endpoints of all services, by ID in order.
+// All returns the endpoints of all services, ordered by ID.
 func (d *Directory) All() (all []Endpoint) {
 	if d == nil {
 		return nil
@@ -130,9 +130,9 @@
 	return all
 }
 
-// Each calls a function with each endpoint of a service that does not leave, until it
-// returns false. Those of evacuated zones are among them, as they are back one day: their
-// Facts tell whether they take work now.
+// Each calls a function with each endpoint of a service that is not leaving, until it returns
+// false. Endpoints of evacuated zones are included, as they will be used again; their Facts
+// state whether they accept requests now.
 func (d *Directory) Each(service string, call func(*Endpoint) bool) {
 	if d == nil || d.services[service] == nil {
 		return
@@ -140,13 +140,14 @@
 	d.services[service].Ascend(func(e *Endpoint) bool { return e.Leaving || call(e) })
 }
 
-// GroupOf is the group of an endpoint, where those of a service are divided among a power of
-// two of groups. It follows from the ID alone, and twice as many groups divide each in two.
+// GroupOf returns the group of an endpoint when its service is divided into a number of
+// groups, which is a power of two. It depends on the ID alone, and doubling the number splits
+// each group in two.
 func (e *Endpoint) GroupOf(groups int) int {
 	return int(e.Hash >> 1 >> (bits.UintSize - 1 - bits.TrailingZeros(uint(groups))))
 }
 
-// EachOfGroup is Each for the endpoints of one group, without a look at the others.
+// EachInGroup is Each for the endpoints of one group. It does not iterate over the others.
 func (d *Directory) EachInGroup(service string, group, groups int, call func(*Endpoint) bool) {
 	if d == nil || d.services[service] == nil {
 		return
@@ -157,7 +158,7 @@
 	})
 }
 
-// Of returns the endpoints of a service that do not leave.
+// EndpointsOf returns the endpoints of a service that are not leaving.
 func (d *Directory) EndpointsOf(service string) (found []Endpoint) {
 	d.Each(service, func(e *Endpoint) bool {
 		found = append(found, *e)
--- a/pkg/route/directory_test.go
+++ b/pkg/route/directory_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestDirectory(t *testing.T) {
-	Convey("A change leaves the directory before it as it was", t, func() {
+	Convey("A change does not modify the previous directory", t, func() {
 		before, changes := (*Directory)(nil).With(newChanges(100))
 		So(changes, ShouldHaveLength, 100)
 		moved := &Endpoint{ID: "e-7", Service: "api", Address: "10.0.0.2:1"}
@@ -35,7 +35,7 @@
 		found, _ := before.Find("e-7")
 		So(found.Service, ShouldEqual, "llm")
 	})
-	Convey("Groups hold each endpoint once, and twice as many divide each in two", t, func() {
+	Convey("Each endpoint is in one group, and doubling the number of groups splits each in two", t, func() {
 		d, _ := (*Directory)(nil).With(newChanges(1000))
 		for _, groups := range []int{1, 2, 8, 64} {
 			seen := 0
@@ -51,7 +51,7 @@
 			So(seen, ShouldEqual, 1000)
 		}
 	})
-	Convey("What a change costs does not grow with the endpoints", t, func() {
+	Convey("The cost of a change does not grow with the number of endpoints", t, func() {
 		cost := func(count int) float64 {
 			d, _ := (*Directory)(nil).With(newChanges(count))
 			change := newChanges(1)
--- a/pkg/route/knowledge.go
+++ b/pkg/route/knowledge.go
@@ -2,27 +2,28 @@
 
 import "github.com/quaylead/quaylead/pkg/epoch"
 
-// Knowledge tells how much a box knows of the endpoints that the store lists. All are
-// versions of the store, but for Looks.
+// Knowledge describes how much a box knows of the endpoints that the store lists. All fields
+// but Polls and Digest are versions of the store.
 type Knowledge struct {
-	// Known is the version up to which all changes are known; 0 means that nothing is.
+	// Known is the version up to which all changes are known; 0 means none.
 	Known epoch.Version
-	// Base is the version as of which the endpoints were first known. An endpoint that
-	// went before is not known of at all, so who had it can not learn that from here.
+	// Base is the version as of which the endpoints were first known. Removals before Base are
+	// not known, so a box that still lists such an endpoint cannot be brought up to date from
+	// here.
 	Base epoch.Version
-	// GapAfter and GapBefore bound the versions between which endpoints may have come
-	// and gone unnoticed, as a whole reading passed over them.
+	// GapAfter and GapBefore bound the versions between which endpoints may have come and gone
+	// unnoticed, because a full read skipped the changes.
 	GapAfter, GapBefore epoch.Version
-	// Looks numbers the looks of all boxes at the store: the one that looks counts on
-	// from the highest number it has heard. Two that look at once may take the same.
+	// Polls numbers the polls of the store by all boxes. A box that polls counts on from the
+	// highest number it has received. Two simultaneous polls may get the same number.
 	Polls uint64
-	// Digest sums up the endpoints that are listed as of Known, for boxes that know as much to find
-	// out that they differ; 0 where it is not told.
+	// Digest is a checksum of the endpoints that are listed as of Known. Boxes with the same
+	// Known detect by it that their lists differ. 0 means not reported.
 	Digest uint64
 }
 
-// Serves tells whether what changed here after the other's Known is all that the other
-// lacks.
+// CanUpdate reports whether the changes known here after other.Known are all that the other
+// box lacks.
 func (k Knowledge) CanUpdate(other Knowledge) bool {
 	if other.Known == 0 {
 		return true
@@ -31,7 +32,7 @@
 	return other.Known >= k.Base && !inGap
 }
 
-// Join adds the knowledge of another one that serves this one.
+// Merge adds the knowledge of another box that can update this one.
 func (k *Knowledge) Merge(other Knowledge) {
 	if k.Known == 0 {
 		k.Base = other.Base
@@ -43,8 +44,8 @@
 	k.Polls = max(k.Polls, other.Polls)
 }
 
-// Read adds what a look at the store told as of a version. A whole look does not tell
-// what came and went since the last one.
+// RecordPoll adds what a poll of the store returned as of a version. A full read does not show
+// which endpoints came and went since the last poll.
 func (k *Knowledge) RecordPoll(version epoch.Version, full bool) {
 	k.Polls++
 	if k.Known == 0 {
@@ -55,8 +56,8 @@
 	k.Known = max(k.Known, version)
 }
 
-// addGap notes a gap. One gap is remembered; who knows less than the end of the one
-// before is no longer served.
+// addGap records a gap. Only one gap is stored; a box that knows less than the end of the
+// previous gap can no longer be updated from here.
 func (k *Knowledge) addGap(after, before epoch.Version) {
 	if k.GapBefore > 0 && k.GapBefore != before {
 		k.Base = max(k.Base, k.GapBefore)
--- a/pkg/route/orders.go
+++ b/pkg/route/orders.go
@@ -8,18 +8,18 @@
 	"github.com/quaylead/quaylead/pkg/rollout"
 )
 
-// Orders are what the operator has ordered beside the configuration, as of a version of the
-// store. Those of a higher version replace others as a whole.
+// Orders are the operator's orders besides the configuration, as of a version of the store.
+// Those of a higher version replace others as a whole.
 type Orders struct {
-	// Version is the store's; all that was ordered up to it is told.
+	// Version is the version of the store up to which all orders are included.
 	Version epoch.Version
-	// Evacuated are the zones whose endpoints are to get nothing, in order.
+	// Evacuated are the zones whose endpoints must get no requests, sorted.
 	Evacuated []string
-	// Rollouts are the orders to move services to another version, by service in order, one
-	// for each.
+	// Rollouts are the orders to move services to another version, at most one for each
+	// service, sorted by service.
 	Rollouts []rollout.Order
-	// Kept are orders that the store no longer has, as it was restored from a copy. They stay
-	// in force until KeptUntil, by when the operator has written them again.
+	// Kept are orders that the store lost when it was restored from a copy. They stay in force
+	// until KeptUntil, to give the operator time to write them again.
 	Kept      KeptOrders
 	KeptUntil time.Time
 }
@@ -30,12 +30,13 @@
 	Rollouts  []rollout.Order
 }
 
-// IsEmpty tells whether there are none.
+// IsEmpty reports whether there are none.
 func (k *KeptOrders) IsEmpty() bool { return len(k.Evacuated) == 0 && len(k.Rollouts) == 0 }
 
-// Keep takes over what was in force before and is still to hold. Of an earlier epoch of the
-// store that is all that is missing now, for a time; a roll-out is also kept where the order for
-// its service is older than the one known.
+// Keep carries over orders that were in force before and are missing now. If the store has
+// entered a later epoch since, these are all earlier orders, for the retention time; otherwise
+// only those already kept, until their time is over. A roll-out is also kept if the store's
+// order for its service is older than the known one.
 func (o *Orders) Keep(before *Orders, now time.Time, retention time.Duration) {
 	kept, until := before.Kept, before.KeptUntil
 	if before.Version.HasEarlierEpochThan(o.Version) {
@@ -59,8 +60,8 @@
 	}
 }
 
-// replaces tells whether there is an order in place of one that was known: the same one, or one
-// that was written later. Of two epochs, a lower number may be that of an older order.
+// hasReplacement reports whether a known order is superseded by the same order or by one that
+// was written later. If the epochs differ, an order with a lower counter may be older.
 func (o *Orders) hasReplacement(known rollout.Order) bool {
 	later := func(order rollout.Order) bool {
 		return order.Service == known.Service &&
@@ -69,20 +70,20 @@
 	return slices.ContainsFunc(o.Rollouts, later) || slices.ContainsFunc(o.Kept.Rollouts, later)
 }
 
-// Lapse is the orders without what is kept.
+// WithoutKept returns the orders without the kept ones.
 func (o *Orders) WithoutKept() *Orders {
 	return &Orders{Version: o.Version, Evacuated: o.Evacuated, Rollouts: o.Rollouts}
 }
 
-// zones are those to get nothing.
+// evacuatedZones returns the zones that must get no requests.
 func (o *Orders) evacuatedZones() []string {
 	zones := slices.Concat(o.Evacuated, o.Kept.Evacuated)
 	slices.Sort(zones)
 	return slices.Compact(zones)
 }
 
-// Moves are the roll-outs in force, one for each service. A kept one goes before that which
-// the store has.
+// ActiveRollouts returns the roll-outs in force, one for each service. A kept one takes
+// precedence over that of the store.
 func (o *Orders) ActiveRollouts() []rollout.Order {
 	rollouts := slices.Clone(o.Kept.Rollouts)
 	for _, order := range o.Rollouts {
@@ -93,18 +94,18 @@
 	return rollouts
 }
 
-// Differ tells whether other orders say anything else.
+// DiffersFrom reports whether other orders have a different effect.
 func (o *Orders) DiffersFrom(other *Orders) bool {
 	same := func(a, b rollout.Order) bool { return a.Service == b.Service && a.Version == b.Version }
 	return o.EvacuationDiffersFrom(other) || !slices.EqualFunc(o.ActiveRollouts(), other.ActiveRollouts(), same)
 }
 
-// EvacuatesOthers tells whether other orders evacuate other zones.
+// EvacuationDiffersFrom reports whether other orders evacuate different zones.
 func (o *Orders) EvacuationDiffersFrom(other *Orders) bool {
 	return !slices.Equal(o.evacuatedZones(), other.evacuatedZones())
 }
 
-// Evacuates tells whether a zone is to get nothing.
+// IsEvacuated reports whether the endpoints of a zone must get no requests.
 func (o *Orders) IsEvacuated(zone string) bool {
 	return o != nil && (slices.Contains(o.Evacuated, zone) || slices.Contains(o.Kept.Evacuated, zone))
 }
--- a/pkg/route/orders_test.go
+++ b/pkg/route/orders_test.go
@@ -21,24 +21,24 @@
 		orders.Keep(&before, now, retention)
 		return orders
 	}
-	Convey("What a restored store lacks stays in force for a time", t, func() {
+	Convey("Orders that a restored store lacks stay in force for the retention time", t, func() {
 		orders := after(Orders{Version: epoch.Join(2, 10), Evacuated: []string{"b"}})
 		So(orders.IsEvacuated("a"), ShouldBeTrue)
 		So(orders.Kept.Evacuated, ShouldResemble, []string{"a"})
 		So(orders.ActiveRollouts(), ShouldResemble, before.Rollouts)
 		So(orders.KeptUntil, ShouldEqual, now.Add(retention))
 		So(orders.DiffersFrom(&before), ShouldBeFalse)
-		lapsed := orders.WithoutKept()
-		So(lapsed.IsEvacuated("a"), ShouldBeFalse)
-		So(lapsed.IsEvacuated("b"), ShouldBeTrue)
-		So(lapsed.ActiveRollouts(), ShouldBeEmpty)
+		withoutKept := orders.WithoutKept()
+		So(withoutKept.IsEvacuated("a"), ShouldBeFalse)
+		So(withoutKept.IsEvacuated("b"), ShouldBeTrue)
+		So(withoutKept.ActiveRollouts(), ShouldBeEmpty)
 	})
-	Convey("Within one epoch, what is missing was withdrawn", t, func() {
+	Convey("Within one epoch, missing orders were withdrawn", t, func() {
 		orders := after(Orders{Version: epoch.Join(1, 31)})
 		So(orders.IsEvacuated("a"), ShouldBeFalse)
 		So(orders.ActiveRollouts(), ShouldBeEmpty)
 	})
-	Convey("What is kept goes on through later versions, until its time is over or it is written", t, func() {
+	Convey("Kept orders stay in later versions, until their time is over or they are written again", t, func() {
 		kept := after(Orders{Version: epoch.Join(2, 10)})
 		later := Orders{Version: epoch.Join(2, 11), Evacuated: []string{"a"}}
 		later.Keep(&kept, now.Add(time.Second), retention)
@@ -48,7 +48,7 @@
 		over.Keep(&kept, now.Add(retention), retention)
 		So(over.Kept.IsEmpty(), ShouldBeTrue)
 	})
-	Convey("An older order of the copy does not replace a roll-out, a later one and the same one do", t, func() {
+	Convey("An older order of the copy does not replace a roll-out; a later one and the same one do", t, func() {
 		for _, c := range []struct {
 			order    rollout.Order
 			replaces bool
@@ -65,7 +65,7 @@
 			So(orders.ActiveRollouts(), ShouldResemble, wanted)
 		}
 	})
-	Convey("What a peer keeps is taken, and not twice", t, func() {
+	Convey("Orders that a peer keeps are added, but not twice", t, func() {
 		reported := Orders{Version: epoch.Join(2, 10), Kept: KeptOrders{Evacuated: []string{"a"}, Rollouts: before.Rollouts}, KeptUntil: now.Add(time.Second)}
 		orders := after(reported)
 		So(orders.Kept.Evacuated, ShouldResemble, []string{"a", "b"})
