--- a/pkg/certificate/certificate.go
+++ b/pkg/certificate/certificate.go
@@ -1,5 +1,5 @@
-// Package certificate keeps the TLS keys of a box. Files are read again when
-// they change, so keys are renewed without a restart.
+// Package certificate loads the TLS certificates and keys of a box. Files are read again when
+// they change, so certificates are renewed without a restart.
 package certificate
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/gravitational/trace"
 )
 
-// PeerName is the DNS name that the certificates of all boxes carry. Boxes are
-// replaced at any time, so their addresses can not be in certificates.
+// PeerName is the DNS name in the certificates of all boxes. Boxes are replaced at any time,
+// so certificates cannot contain their addresses.
 const PeerName = "quaylead-peer"
 
-// Pair is a certificate and its key, by their files. The fields are set before
-// the first use.
+// Pair is a certificate and its key, given by their files. The fields are set before the first
+// use.
 type Pair struct {
 	CertificateFile string
 	KeyFile         string
@@ -27,9 +27,8 @@
 	readAt  time.Time
 }
 
-// Load returns the pair, read again if its certificate's file changed. Files
-// that do not fit together, as in the middle of a renewal, leave the pair as it
-// was.
+// Load returns the pair, and reads it again if its certificate's file changed. If the files do
+// not match, as in the middle of a renewal, the previous pair stays in use.
 func (p *Pair) Load() (certificate *tls.Certificate, err error) {
 	defer func() { err = trace.Wrap(err, "loading certificate %s", p.CertificateFile) }()
 	p.mu.Lock()
@@ -53,7 +52,7 @@
 	return p.current, nil
 }
 
-// CallerConfig is the TLS configuration towards callers.
+// CallerConfig returns the TLS configuration for connections from callers.
 func CallerConfig(pair *Pair) (config *tls.Config, err error) {
 	if _, err := pair.Load(); err != nil {
 		return nil, err
@@ -66,8 +65,8 @@
 	}, nil
 }
 
-// PeerConfig is the TLS configuration between boxes, for both sides: each shows
-// a certificate for PeerName that the authority signed.
+// PeerConfig returns the TLS configuration for connections between boxes, for both sides. Each
+// presents a certificate for PeerName that the authority signed.
 func PeerConfig(pair *Pair, authorityFile string) (config *tls.Config, err error) {
 	defer func() { err = trace.Wrap(err, "preparing TLS between boxes") }()
 	if _, err := pair.Load(); err != nil {
--- a/pkg/certificate/certificate_test.go
+++ b/pkg/certificate/certificate_test.go
@@ -46,7 +46,7 @@
 	return pair
 }
 
-// connect lets a client with one configuration meet a server with another.
+// connect makes a TLS connection between a server and a client with the given configurations.
 func connect(server, client *tls.Config) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,14 +83,14 @@
 		So(err, ShouldBeNil)
 		theirs, err := certificate.PeerConfig(other, other.CertificateFile)
 		So(err, ShouldBeNil)
-		Convey("boxes of one authority meet, others are refused", func() {
+		Convey("boxes of one authority can connect, others are refused", func() {
 			So(connect(ours, ours), ShouldBeNil)
 			So(connect(ours, theirs), ShouldNotBeNil)
 			without := ours.Clone()
 			without.GetClientCertificate = nil
 			So(connect(ours, without), ShouldNotBeNil)
 		})
-		Convey("a renewed certificate is taken, a broken one is not", func() {
+		Convey("a renewed certificate is loaded, a broken one is not", func() {
 			before, err := pair.Load()
 			So(err, ShouldBeNil)
 			selfSigned(t, dir, 3)
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,7 +1,7 @@
-// Package claim makes calls that must not be repeated run at most once. A
-// claim is a row that one router inserts before the first byte of a call may
-// leave. It is never taken over: whoever holds it may have been paused and
-// send later, so everyone else can only wait for the outcome.
+// Package claim makes calls that must not be repeated run at most once. A claim is a row that
+// one router inserts before it sends the first byte of a call. A claim is never taken over:
+// its holder may have been paused and may send later, so all others can only wait for the
+// outcome.
 package claim
 
 import (
@@ -19,13 +19,13 @@
 	"github.com/quaylead/quaylead/pkg/platform"
 )
 
-// Table is the table that holds claims, one row for each idempotency key.
+// Table is the table of the claims, one row for each idempotency key.
 const Table = "claims"
 
-// inlineBytes is the largest body of an outcome kept in the row itself.
+// maxInlineBytes is the largest body of an outcome that is stored in the row itself.
 const maxInlineBytes = 16 << 10
 
-// Key names what is claimed.
+// Key identifies what is claimed.
 type Key struct {
 	Customer string
 	Pool     string
@@ -33,8 +33,8 @@
 	Value string
 }
 
-// row is the key's place in the table. Hashing keeps callers' keys, which may
-// be long or hold secrets, out of paths and logs.
+// rowKey returns the key of the row. Hashing keeps callers' keys, which may be long or contain
+// secrets, out of paths and logs.
 func (k Key) rowKey() string {
 	digest := sha256.New()
 	for _, part := range []string{k.Customer, k.Pool, k.Value} {
@@ -44,20 +44,20 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// Outcome is the whole answer to a claimed call.
+// Outcome is the complete response to a claimed call.
 type Outcome struct {
 	Status      int
 	ContentType string
 	Body        []byte `json:",omitempty"`
-	// Object is the key of a body too large for the row.
+	// Object is the key of the object with a body that is too large for the row.
 	Object string `json:",omitempty"`
 }
 
 // record is the content of a row.
 type record struct {
-	// Nonce tells one attempt to claim from every other.
+	// Nonce identifies one attempt to claim.
 	Nonce string
-	// Digest is a hash of the request; another request may not use the key.
+	// Digest is a hash of the request; a different request must not use the key.
 	Digest string
 	Box    string
 	At     time.Time
@@ -65,12 +65,12 @@
 	Outcome *Outcome `json:",omitempty"`
 }
 
-// Result says how things stand with a key: one of Taken, Stored, Held, Reused.
+// Result is the result of Take: one of Taken, Stored, Held and Reused.
 type Result interface {
 	result()
 }
 
-// Taken means that the claim is ours: the call may be sent, once.
+// Taken means that this attempt has the claim: the call may be sent, once.
 type Taken struct {
 	Claim *Claim
 }
@@ -91,15 +91,15 @@
 func (Held) result()   {}
 func (Reused) result() {}
 
-// Claim is a confirmed claim. Exactly one of Settle and Release follows, or
-// neither when it is not known whether the call ran.
+// Claim is a confirmed claim. It ends with exactly one of Settle and Release, or with neither
+// if it is unknown whether the call ran.
 type Claim struct {
 	key     Key
 	record  record
 	version string
 }
 
-// Store is what a registry needs of the platform.
+// Store is the part of platform.Store that a Registry needs.
 type Store interface {
 	Get(table, key string) (platform.Row, error)
 	Put(table, key string, value []byte, when platform.Condition) (string, error)
@@ -108,22 +108,22 @@
 	GetObject(key string) ([]byte, error)
 }
 
-// Registry takes and settles claims for one router.
+// Registry takes and settles the claims of one router.
 type Registry struct {
-	// Store keeps the claims.
+	// Store stores the claims.
 	Store Store
-	// Box is written into claims, for operators.
+	// Box is written into claims as information for operators.
 	Box string
-	// NewNonce makes a value that no other attempt ever has.
+	// NewNonce returns a value that no other attempt uses.
 	NewNonce func() string
 
 	mu sync.Mutex
-	// unfinished are claims whose release or outcome is still to be written.
+	// pending are writes of outcomes or releases that Run retries.
 	pending []pendingWrite
 }
 
-// unfinished is a write that the store has not confirmed yet. Nothing depends
-// on it but that a repeat of the key gets a better answer than "unknown".
+// pendingWrite is a write that the store has not confirmed yet. If it is lost, a repeat of the
+// key is answered with "unknown" instead of a better answer; nothing else depends on it.
 type pendingWrite struct {
 	claim   *Claim
 	outcome *Outcome
@@ -131,18 +131,18 @@
 }
 
 const (
-	// retryPause lies between two tries at the store within one call.
+	// retryDelay is the delay between two attempts at the store within one call.
 	retryDelay = 50 * time.Millisecond
-	// finishInterval lies between two rounds over the unfinished claims.
+	// finishInterval is the interval at which pending writes are retried.
 	finishInterval = time.Second
-	// finishFor is how long an unfinished claim is tried.
+	// finishTimeout is how long a pending write is retried.
 	finishTimeout = 10 * time.Minute
-	// maxUnfinished bounds the unfinished claims held in memory.
+	// maxPending bounds the pending writes held in memory.
 	maxPending = 10000
 )
 
-// Take claims a key for a request. An error means that the store could not
-// confirm a claim before the context ended: nothing may be sent then.
+// Take claims a key for a request. An error means that the store could not confirm a claim
+// before the context ended; nothing must be sent then.
 func (r *Registry) Take(ctx context.Context, key Key, digest string) (result Result, err error) {
 	defer func() { err = trace.Wrap(err, "claiming an idempotency key") }()
 	claim := &Claim{key: key, record: record{
@@ -166,7 +166,8 @@
 	}
 }
 
-// tryTake inserts the claim, and settles a lost or contrary answer by reading.
+// tryTake inserts the claim. If the response is lost or the row exists, it reads the row to
+// find out who has the claim.
 func (r *Registry) tryTake(claim *Claim, uncertain *bool) (Result, error) {
 	value, err := json.Marshal(claim.record)
 	if err != nil {
@@ -189,7 +190,7 @@
 	return r.resolve(claim, row)
 }
 
-// judge decides by the row what the claim's attempt may do.
+// resolve determines from the row what the attempt that made the claim may do.
 func (r *Registry) resolve(claim *Claim, row platform.Row) (Result, error) {
 	var found record
 	if err := json.Unmarshal(row.Value, &found); err != nil {
@@ -215,8 +216,8 @@
 	return Stored{Outcome: outcome}, nil
 }
 
-// Settle stores the outcome, so that a repeat gets the same answer. When the
-// store does not take it now, it is tried again in the background.
+// Settle stores the outcome, so that a repeat gets the same response. If the store is
+// unavailable, the write is retried in the background.
 func (r *Registry) Settle(claim *Claim, outcome Outcome) {
 	if r.writeOutcome(claim, outcome) != nil {
 		r.postpone(claim, &outcome)
@@ -242,8 +243,8 @@
 	return err
 }
 
-// Release gives a claim back after a call that provably did not run, so that a
-// repeat may run. The claim must not be used after.
+// Release removes a claim after a call that provably did not run, so that a repeat may run.
+// The claim must not be used afterwards.
 func (r *Registry) Release(claim *Claim) {
 	if err := r.Store.Delete(Table, claim.key.rowKey(), claim.version); isUnavailable(err) {
 		r.postpone(claim, nil)
@@ -263,7 +264,7 @@
 	})
 }
 
-// Run finishes postponed writes until the context ends.
+// Run retries pending writes until the context ends.
 func (r *Registry) Run(ctx context.Context) error {
 	for interval.Wait(ctx, finishInterval) == nil {
 		r.mu.Lock()
@@ -277,8 +278,8 @@
 	return nil
 }
 
-// finish writes an outcome or removes a claim of ours that was never used. The
-// row may not be there yet when the store is slow, so absence is no end.
+// finish writes an outcome, or removes a claim of this router that was not used. If the store
+// is slow, the row may appear later, so a missing row does not end the retries.
 func (r *Registry) finish(ctx context.Context, write pendingWrite) {
 	if ctx.Err() != nil || time.Now().After(write.until) {
 		return
@@ -308,14 +309,15 @@
 	return !isUnavailable(r.Store.Delete(Table, write.claim.key.rowKey(), row.Version))
 }
 
-// unavailable tells that the store's answer is missing, not contrary.
+// isUnavailable reports whether the store gave no usable response, as opposed to a conflict or
+// a missing row.
 func isUnavailable(err error) bool {
 	var missing *platform.UnavailableError
 	return errors.As(err, &missing)
 }
 
-// asUnavailable makes a failed read count as the store not answering: a row
-// that was in the way a moment ago and is gone now has to be tried again.
+// asUnavailable treats a failed read as an unavailable store: if a row that caused a conflict
+// a moment ago is gone, the insert has to be retried.
 func asUnavailable(err error) error {
 	if isUnavailable(err) {
 		return err
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -14,8 +14,8 @@
 	"github.com/quaylead/quaylead/pkg/platform"
 )
 
-// fakeStore is a table store whose calls can be made to fail, before or after
-// they take effect, by a plan that is used up call by call.
+// fakeStore is a table store whose calls can fail before or after they take effect, by a plan
+// with one entry for each call.
 type fakeStore struct {
 	rows    map[string]platform.Row
 	objects map[string][]byte
@@ -23,7 +23,7 @@
 	plan    []callResult
 }
 
-// fate is what becomes of one call.
+// callResult is what happens to one call.
 type callResult int
 
 const (
@@ -48,7 +48,7 @@
 	case lostRequest:
 		return errLost
 	case lostResponse:
-		// The effect takes place and its answer is lost.
+		// The call takes effect and its response is lost.
 		_ = effect()
 		return errLost
 	}
@@ -121,7 +121,7 @@
 
 var key = claim.Key{Customer: "ward", Pool: "booking-api", Value: "one"}
 
-// step is what one of two routers does next with the same key.
+// step is an action of one of two routers with the same key.
 type step int
 
 const (
@@ -131,7 +131,7 @@
 	releaseA
 )
 
-// world is two routers before one store, and how often the call was sent.
+// scenario is two routers with one store, and the number of times that the call was sent.
 type scenario struct {
 	store *fakeStore
 	a, b  *claim.Registry
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestNoInterleavingRunsTwice explores every order of four steps by two routers
-// with every fate of the first four calls to the store: A may be paused between
-// its claim and its call for as long as it likes.
+// TestNoInterleavingRunsTwice tries every order of four steps by two routers with every result
+// of the first four calls to the store. Router A may be paused for any time between its claim
+// and its call.
 func TestNoInterleavingRunsTwice(t *testing.T) {
 	const depth = 4
 	explored := 0
@@ -191,7 +191,7 @@
 				}
 				explored++
 				if w.runs > 1 {
-					t.Fatalf("order %x with fates %d ran the call %d times", order, results, w.runs)
+					t.Fatalf("order %x with results %d ran the call %d times", order, results, w.runs)
 				}
 			}
 		}
@@ -217,20 +217,20 @@
 		So(err, ShouldBeNil)
 		large := make([]byte, 100<<10)
 		first.Settle(result.(claim.Taken).Claim, claim.Outcome{Status: 201, Body: large})
-		Convey("a repeat anywhere gets the whole outcome", func() {
+		Convey("a repeat at any router gets the complete outcome", func() {
 			result, err := registry(store, "b").Take(t.Context(), key, "digest")
 			So(err, ShouldBeNil)
 			stored := result.(claim.Stored)
 			So(stored.Outcome.Status, ShouldEqual, 201)
 			So(len(stored.Outcome.Body), ShouldEqual, len(large))
 		})
-		Convey("a different request under the key is told so", func() {
+		Convey("a different request with the same key is recognized", func() {
 			result, err := registry(store, "b").Take(t.Context(), key, "other")
 			So(err, ShouldBeNil)
 			So(result, ShouldHaveSameTypeAs, claim.Reused{})
 		})
 	})
-	Convey("An outcome that the store did not take is written later", t, func() {
+	Convey("An outcome that the store did not accept is written later", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			store := newStore(succeeds, lostRequest)
 			r := registry(store, "a")
--- a/pkg/platform/store.go
+++ b/pkg/platform/store.go
@@ -1,6 +1,6 @@
-// Package platform reaches the platform's table store, object store and box
-// list. Everything that knows their protocol is here; another platform is
-// another package with the same methods.
+// Package platform is a client for the platform's table store, object store and box list. Only
+// this package depends on their protocol; a package for another platform would have the same
+// methods.
 package platform
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// ConflictError reports that a conditional write found another version of a
-// row than it expected; nothing was written.
+// ConflictError reports that a conditional write found another version of a row than it
+// expected. Nothing was written.
 type ConflictError struct {
 	Table, Key string
 }
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("row %s/%s is not as expected", e.Table, e.Key)
 }
 
-// NotFoundError reports that there is no such row or object.
+// NotFoundError reports that a row or object does not exist.
 type NotFoundError struct {
 	Path string
 }
@@ -38,8 +38,8 @@
 	return "nothing at " + e.Path
 }
 
-// UnavailableError reports that the store gave no usable answer. A write may
-// or may not have taken effect; only reading settles it.
+// UnavailableError reports that the store gave no usable response. A write may or may not have
+// taken effect; only a read can tell.
 type UnavailableError struct {
 	Path   string
 	Status int
@@ -59,35 +59,35 @@
 	return e.Err
 }
 
-// Row is a row of a table with the version that conditional writes name.
+// Row is a row of a table with the version that conditional writes refer to.
 type Row struct {
 	Value   []byte
 	Version string
 }
 
-// Store calls the platform. Its fields are set before the first call.
+// Store is a client of the platform. Its fields are set before the first call.
 type Store struct {
-	// Settings say where the platform is.
+	// Settings contain the platform's address and paths.
 	Settings settings.Platform
 
 	once   sync.Once
 	client *fasthttp.HostClient
 }
 
-// Condition is what a write expects of a row: one of Absent, Current and Any.
+// Condition is the precondition of a write: one of Absent, Current and Any.
 type Condition interface {
 	condition()
 }
 
-// Absent expects that there is no such row.
+// Absent requires that the row does not exist.
 type Absent struct{}
 
-// Current expects that the row has this version.
+// Current requires that the row has this version.
 type Current struct {
 	Version string
 }
 
-// Any expects nothing.
+// Any requires nothing.
 type Any struct{}
 
 func (Absent) condition()  {}
@@ -132,13 +132,13 @@
 	Key   string
 	// Value is the new content, as JSON.
 	Value json.RawMessage
-	// IfAbsent and IfVersion are the condition; both empty means none.
+	// IfAbsent and IfVersion are the condition; without both there is none.
 	IfAbsent  bool
 	IfVersion string
 }
 
-// Transact makes all writes or none. A *ConflictError names the first row that
-// was not as expected.
+// Transact performs all writes or none. A *ConflictError names the first row whose condition
+// did not hold.
 func (s *Store) Transact(writes []Write) (err error) {
 	defer func() { err = trace.Wrap(err) }()
 	body, err := json.Marshal(writes)
@@ -157,7 +157,7 @@
 	return named
 }
 
-// PutObject stores an object under a key that is never written differently.
+// PutObject stores an object under a key whose content never changes.
 func (s *Store) PutObject(key string, value []byte) error {
 	response := &fasthttp.Response{}
 	return trace.Wrap(s.call(fasthttp.MethodPut, s.objectPath(key), value, nil, response))
@@ -190,7 +190,7 @@
 	LeavingState = "leaving"
 )
 
-// Boxes reads the box list, which lags behind the truth.
+// Boxes reads the box list, which lags behind the actual state.
 func (s *Store) Boxes() (boxes []ListedBox, err error) {
 	defer func() { err = trace.Wrap(err) }()
 	response := &fasthttp.Response{}
@@ -220,7 +220,7 @@
 	}
 }
 
-// named fills the row into a conflict.
+// withRow adds the row's name to a conflict.
 func (s *Store) withRow(err error, table, key string) error {
 	if _, ok := trace.Unwrap(err).(*ConflictError); ok {
 		return &ConflictError{Table: table, Key: key}
@@ -228,8 +228,8 @@
 	return err
 }
 
-// call makes one call, once: the library's own retries are off, since a write
-// may have taken effect although its answer was lost.
+// call sends one request, once. The library's own retries are disabled, since a write may have
+// taken effect although its response was lost.
 func (s *Store) call(method, path string, body []byte, headers map[string]string, response *fasthttp.Response) error {
 	s.once.Do(s.open)
 	request := &fasthttp.Request{}
--- a/pkg/request/refusal.go
+++ b/pkg/request/refusal.go
@@ -12,7 +12,7 @@
 // Code is the machine-readable reason of a refusal.
 type Code string
 
-// The codes of refusals, with the status each is sent with.
+// The codes of refusals; codeStatus has the HTTP status of each.
 const (
 	InvalidRequest   Code = "invalid_request"
 	InvalidKey       Code = "invalid_api_key"
@@ -28,13 +28,13 @@
 	KeyReused        Code = "idempotency_key_reused"
 	OutcomeUnknown   Code = "outcome_unknown"
 	CallerGone       Code = "caller_gone"
-	// Overloaded requests found no room in time; they may come again.
+	// Overloaded: there was no capacity in time; the caller may retry.
 	Overloaded Code = "overloaded"
-	// NotInTime requests ran out of time before they were sent.
+	// NotInTime: the deadline could not be met any more before the request was sent.
 	NotInTime Code = "not_in_time"
-	// Quarantined requests have ended several endpoints, and are not run for a while.
+	// Quarantined: the request has ended several endpoints and is not run for a while.
 	Quarantined Code = "quarantined"
-	// TooLarge requests have a body beyond the limit.
+	// TooLarge: the body exceeds the limit.
 	TooLarge Code = "too_large"
 )
 
@@ -59,28 +59,28 @@
 	Quarantined:      fasthttp.StatusServiceUnavailable,
 }
 
-// The headers that every answer of quaylead itself carries.
+// The headers of every response that quaylead itself generates.
 const (
 	RunHeader = "Quaylead-Run"
 	IDHeader  = "X-Request-Id"
 )
 
-// Refusal is a final answer that quaylead gives in place of an endpoint.
+// Refusal is a final response that quaylead gives in place of an endpoint.
 type Refusal struct {
 	Code    Code
 	Message string
-	// Run is what is known of whether an endpoint ran the request.
+	// Run states whether an endpoint is known to have run the request.
 	Run RunStatus
-	// RetryAfter tells the caller when to come back; 0 means that it should not.
+	// RetryAfter is the delay after which the caller should retry; 0 means that it should not.
 	RetryAfter time.Duration
 }
 
-// Error makes a refusal usable as an error inside the router.
+// Error implements error, so that a refusal can be returned as one inside the router.
 func (r *Refusal) Error() string {
 	return string(r.Code) + ": " + r.Message
 }
 
-// Status is the HTTP status that goes with the code.
+// Status returns the HTTP status for the code.
 func (r *Refusal) Status() int {
 	if status, ok := codeStatus[r.Code]; ok {
 		return status
@@ -88,8 +88,8 @@
 	return fasthttp.StatusInternalServerError
 }
 
-// refusalBody is the JSON form, in the shape that callers of the
-// OpenAI-compatible API already parse.
+// refusalBody is the JSON error format of the OpenAI-compatible API, which callers already
+// parse.
 type refusalBody struct {
 	Error refusalError `json:"error"`
 }
@@ -103,7 +103,7 @@
 	RetryAfter float64   `json:"retry_after_seconds,omitempty"`
 }
 
-// Write puts the refusal into an answer.
+// Write makes the refusal the given response.
 func (r *Refusal) Write(response *fasthttp.Response, id string) {
 	response.Reset()
 	response.SetStatusCode(r.Status())
--- a/pkg/request/state.go
+++ b/pkg/request/state.go
@@ -1,10 +1,11 @@
-// Package request is the life of one request as a state machine. It is the
-// only place that decides whether a refusal may say that nothing was run.
+// Package request tracks one request as a state machine. Only this package decides whether a
+// refusal may state that nothing was run.
 package request
 
 import "fmt"
 
-// State is how far a request has come. States only move forward.
+// State is the progress of a request. It only moves forward, unless a failed attempt requeues
+// the request.
 type State int
 
 // The states of a request, in order.
@@ -13,21 +14,21 @@
 	Received State = iota
 	// Claimed: the claim of its idempotency key is confirmed.
 	Claimed
-	// Queued: waiting for room at an endpoint.
+	// Queued: waiting for capacity at an endpoint.
 	Queued
-	// Sending: a byte may have left for an endpoint.
+	// Sending: a byte may have been sent to an endpoint.
 	Sending
 	// Sent: the whole request was written.
 	Sent
-	// Answering: the head of an answer was read.
+	// Answering: the header of a response was read.
 	Answering
-	// Settled: the final answer is decided.
+	// Settled: the final response is decided.
 	Settled
 )
 
 var stateNames = [...]string{"received", "claimed", "queued", "sending", "sent", "answering", "settled"}
 
-// String gives the state's name as logs and tables show it.
+// String returns the state's name for logs and tables.
 func (s State) String() string {
 	if s < 0 || int(s) >= len(stateNames) {
 		return fmt.Sprintf("state(%d)", int(s))
@@ -35,17 +36,17 @@
 	return stateNames[s]
 }
 
-// Run is what is known of whether an endpoint ran a request.
+// RunStatus states whether an endpoint is known to have run a request.
 type RunStatus string
 
-// What the header Quaylead-Run says.
+// The values of the header Quaylead-Run.
 const (
 	NotRun  RunStatus = "not-run"
 	Unknown RunStatus = "unknown"
 	DidRun  RunStatus = "run"
 )
 
-// OrderError reports a step that the state machine does not allow.
+// TransitionError reports a transition that the state machine does not allow.
 type TransitionError struct {
 	From, To State
 }
@@ -55,21 +56,20 @@
 	return fmt.Sprintf("request cannot go from %s to %s", e.From, e.To)
 }
 
-// Life is where one request stands. Its zero value is a request just received.
-// One goroutine at a time uses it.
+// Lifecycle is the state machine of one request. Its zero value is a request that was just
+// received. It is not safe for concurrent use.
 type Lifecycle struct {
 	state State
-	// attempts counts the endpoints that a byte may have left for.
+	// attempts counts the endpoints to which a byte may have been sent.
 	attempts int
-	// unproven counts the attempts whose endpoint has not proved that it ran
-	// nothing. Only the latest attempt can be proved, so it never falls by more
-	// than one for each attempt.
+	// unproven counts the attempts whose endpoint has not proved that it ran nothing. Only the
+	// latest attempt can be proved, so it decreases by at most one for each attempt.
 	unproven int
-	// provable is set while the latest attempt may still be proved.
+	// provable is set while the latest attempt can still be proved not to have run.
 	provable bool
 }
 
-// State returns where the request stands.
+// State returns the state of the request.
 func (l *Lifecycle) State() State {
 	return l.state
 }
@@ -79,7 +79,8 @@
 	return l.attempts
 }
 
-// Advance moves the request forward, and an attempt forward through its states.
+// Advance moves the request to a later state. Sent and Answering are only allowed during an
+// attempt.
 func (l *Lifecycle) Advance(to State) error {
 	if to <= l.state {
 		return &TransitionError{From: l.state, To: to}
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// Prove notes that the endpoint of the latest attempt ran nothing: no byte of
-// the request left, or the endpoint said so in a way that proves it.
+// ProveNotRun records that the endpoint of the latest attempt ran nothing: no byte of the
+// request was sent, or the endpoint stated it in a way that proves it.
 func (l *Lifecycle) ProveNotRun() {
 	if l.provable {
 		l.provable = false
@@ -105,8 +106,8 @@
 	}
 }
 
-// Return puts a request back into the queue after a failed attempt. A request
-// that may not be repeated returns only if every attempt is proved not run.
+// Requeue returns a request to the queue after a failed attempt. A request that must not be
+// repeated is only requeued if every attempt is proved not to have run.
 func (l *Lifecycle) Requeue(repeatable bool) error {
 	if l.state < Sending || l.state >= Settled {
 		return &TransitionError{From: l.state, To: Queued}
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// Run tells what a refusal at this point may say of the request.
+// RunStatus returns what a refusal may state about the request at this point.
 func (l *Lifecycle) RunStatus() RunStatus {
 	if l.unproven > 0 {
 		return Unknown
--- a/pkg/request/state_test.go
+++ b/pkg/request/state_test.go
@@ -10,8 +10,7 @@
 	"github.com/quaylead/quaylead/pkg/request"
 )
 
-// TestMain fixes the seed of the properties, so that a run gives the same verdict
-// each time.
+// TestMain fixes the seed of the property tests, so that their results are reproducible.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -20,8 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// TestRefusalsNeverClaimTooMuch drives a life by random steps and holds it
-// against what happened: it says not-run only if every attempt is proved.
+// TestRefusalsNeverClaimTooMuch takes random steps and compares the run status with what
+// happened: it is not-run only if every attempt is proved not to have run.
 func TestRefusalsNeverClaimTooMuch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var life request.Lifecycle
@@ -42,11 +41,11 @@
 			case 8:
 				err := life.Requeue(repeatable)
 				if err == nil {
-					// No proof can come for an attempt that was left behind.
+					// An attempt cannot be proved after the request was requeued.
 					latestProved = true
 				}
 				if err == nil && !repeatable && proved < attempts {
-					t.Fatal("a request that may have run was put back in line")
+					t.Fatal("a request that may have run was requeued")
 				}
 			default:
 				to := request.State(step)
@@ -60,7 +59,7 @@
 				}
 			}
 			if (life.RunStatus() == request.NotRun) != (attempts == proved) {
-				t.Fatalf("says %s after %d attempts, %d proved", life.RunStatus(), attempts, proved)
+				t.Fatalf("reports %s after %d attempts, %d proved", life.RunStatus(), attempts, proved)
 			}
 		}
 	})
--- a/pkg/suspension/clock.go
+++ b/pkg/suspension/clock.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// Least is the shortest suspension that is noticed. Leases and patience between boxes are
-// of this order; what is shorter is like a busy processor.
+// MinLength is the shortest suspension that is detected. Leases and timeouts between boxes are
+// of this order; a shorter one has the effect of a busy processor.
 const MinLength = 100 * time.Millisecond
 
-// Clock counts how long the machine was suspended since the first look. Its exported field
-// is set before that. It is safe for concurrent use.
+// Clock measures how long the machine was suspended since the first call of Measure. Its
+// exported field is set before that. It is safe for concurrent use.
 type Clock struct {
-	// Total is how long the machine has been suspended in all; nil asks the system.
+	// Total returns how long the machine has been suspended since it started; nil reads it
+	// from the system.
 	Total func() (time.Duration, error)
 
 	mu      sync.Mutex
 	started bool
-	// last is the Total up to which suspensions were noticed, and noticed their sum.
+	// last is the Total up to which suspensions were detected, and detected their sum.
 	last, detected time.Duration
 }
 
-// Look returns how long the machine was suspended since the last look; 0 where it was not.
+// Measure returns how long the machine was suspended since the last suspension that it
+// returned, or 0 if that is less than MinLength.
 func (c *Clock) Measure() (length time.Duration, err error) {
 	read := c.Total
 	if read == nil {
@@ -46,7 +48,7 @@
 	return length, nil
 }
 
-// Noticed is the sum of all suspensions that were noticed.
+// Detected returns the sum of all suspensions that Measure has returned.
 func (c *Clock) Detected() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/suspension/clock_test.go
+++ b/pkg/suspension/clock_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestClock(t *testing.T) {
-	Convey("Suspensions are noticed once, from the first look on, and short ones together", t, func() {
+	Convey("Suspensions since the first call are returned once, and short ones are added up", t, func() {
 		total, problem := time.Hour, error(nil)
 		clock := &Clock{Total: func() (time.Duration, error) { return total, problem }}
 		measure := func(more time.Duration) time.Duration {
--- a/pkg/suspension/doc.go
+++ b/pkg/suspension/doc.go
@@ -1,3 +1,4 @@
-// Package suspension tells when the machine was suspended. The steady clock, by which the
-// runtime's timers and all ages go, stands still meanwhile: what is seconds old looks fresh.
+// Package suspension detects suspensions of the machine. The monotonic clock, on which the
+// runtime's timers and all ages are based, stops meanwhile: data that is seconds old looks
+// fresh.
 package suspension
--- a/pkg/suspension/total_linux.go
+++ b/pkg/suspension/total_linux.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// sameMoment is how far apart two readings of one clock may be for a reading of the
-	// other one between them to count as of the same moment: they take well under a
-	// microsecond unless the process is interrupted.
+	// maxReadSpread is how far apart two readings of one clock may be for a reading of the
+	// other clock between them to count as simultaneous. They take well under a microsecond
+	// unless the process is interrupted.
 	maxReadSpread = time.Millisecond
-	// mostReadings bounds the tries on a machine that interrupts each of them.
+	// maxReadings bounds the attempts, for a machine that interrupts each of them.
 	maxReadings = 10
 )
 
-// Total is how long the machine has been suspended since it started: the time that its
-// steady clock did not count.
+// Total returns how long the machine has been suspended since it started: the time that its
+// monotonic clock did not count.
 func Total() (total time.Duration, err error) {
 	defer func() { err = trace.Wrap(err, "reading how long the machine was suspended") }()
 	for range maxReadings {
--- a/pkg/suspension/total_other.go
+++ b/pkg/suspension/total_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// Total is only known on Linux; elsewhere no suspension is noticed.
+// Total is only available on Linux; elsewhere no suspension is detected.
 func Total() (time.Duration, error) { return 0, nil }
--- a/pkg/suspension/total_test.go
+++ b/pkg/suspension/total_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestTotal(t *testing.T) {
-	Convey("A machine that is not suspended meanwhile has a total that does not grow", t, func() {
+	Convey("The total does not grow while the machine is not suspended", t, func() {
 		before, err := Total()
 		So(err, ShouldBeNil)
 		time.Sleep(20 * time.Millisecond)
