--- a/cmd/quaybench/fault/proxy.go
+++ b/cmd/quaybench/fault/proxy.go
@@ -1,5 +1,5 @@
-// Package fault injects faults into the connections of a fleet, with the
-// proxies of a library that are held in the harness itself.
+// Package fault injects faults into the connections of a fleet. It runs the
+// proxies of the toxiproxy library within the process of the harness.
 package fault
 
 import (
@@ -13,14 +13,15 @@
 	"github.com/rs/zerolog"
 )
 
-// Grid is a set of proxies by the names of their links.
+// ProxySet is a set of proxies by link name.
 type ProxySet struct {
 	mu      sync.Mutex
 	server  *toxiproxy.ApiServer
 	proxies map[string]*toxiproxy.Proxy
 }
 
-// NewGrid makes an empty set. The library's own server is never started.
+// NewProxySet returns an empty set. The HTTP server of the library is never
+// started.
 func NewProxySet() *ProxySet {
 	return &ProxySet{
 		server:  toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop()),
@@ -28,7 +29,8 @@
 	}
 }
 
-// Add puts a proxy before an address, and returns its own address.
+// Add starts a proxy for the upstream address and returns the address of the
+// proxy. If the link has a proxy already, it returns the address of that one.
 func (s *ProxySet) Add(link, upstream string) (address string, err error) {
 	defer func() { err = trace.Wrap(err, "adding a proxy for %s", link) }()
 	s.mu.Lock()
@@ -44,18 +46,20 @@
 	return proxy.Listen, nil
 }
 
-// Toxic is one fault of a link.
+// Toxic is one fault of a link. The word is that of the library.
 type Toxic struct {
-	// Type is the library's name of the fault, such as "latency", "timeout",
+	// Type is the library's name for the fault, such as "latency", "timeout",
 	// "reset_peer", "limit_data" or "bandwidth".
 	Type string
-	// Upstream faults hit what goes to the server, others what comes back.
+	// Upstream faults affect the data sent to the server, others the data that
+	// the server sends.
 	Upstream bool
-	// Attributes are the fault's own, such as "timeout" in milliseconds.
+	// Attributes are the parameters of the fault type, such as "timeout" in
+	// milliseconds.
 	Attributes map[string]int
 }
 
-// toxicMessage is the library's own form of a fault.
+// toxicMessage is the JSON form of a fault that the library reads.
 type toxicMessage struct {
 	Name       string         `json:"name"`
 	Type       string         `json:"type"`
@@ -64,7 +68,7 @@
 	Attributes map[string]int `json:"attributes"`
 }
 
-// Inject switches a fault on, for present and future connections of a link.
+// Inject starts a fault on the present and future connections of a link.
 func (s *ProxySet) Inject(link string, toxic Toxic) (err error) {
 	defer func() { err = trace.Wrap(err, "injecting %s into %s", toxic.Type, link) }()
 	proxy, err := s.proxy(link)
@@ -89,7 +93,7 @@
 	return err
 }
 
-// Heal switches all faults of a link off.
+// Heal removes all faults of a link, and starts its proxy again after Refuse.
 func (s *ProxySet) Heal(link string) error {
 	proxy, err := s.proxy(link)
 	if err != nil {
@@ -112,8 +116,8 @@
 	return nil
 }
 
-// Cut silences a link in both directions until Heal: nothing passes, and
-// neither side is told.
+// Cut drops all data of a link in both directions until Heal. Connections stay
+// open, so neither side gets an error.
 func (s *ProxySet) Cut(link string) error {
 	for _, upstream := range []bool{true, false} {
 		toxic := Toxic{Type: "timeout", Upstream: upstream, Attributes: map[string]int{"timeout": 0}}
@@ -134,7 +138,7 @@
 	return proxy, nil
 }
 
-// Close ends all proxies.
+// Close stops all proxies.
 func (s *ProxySet) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/quaybench/fleet/address.go
+++ b/cmd/quaybench/fleet/address.go
@@ -8,13 +8,15 @@
 	"github.com/gravitational/trace"
 )
 
-// given are the addresses that were handed out in this process. The kernel may
-// choose a port again before the process that it is meant for has started.
+// issuedAddresses holds the addresses that FreeAddress returned in this process.
+// The kernel may choose the same port again before the process that shall listen
+// on it has started.
 var issuedAddresses sync.Map
 
-// FreeAddress lets the kernel choose a free port. It is chosen on a loopback
-// address that only this harness uses: on 127.0.0.1 the port of an outgoing
-// connection could take it before the process that it is meant for starts.
+// FreeAddress returns an address with a free port, chosen by the kernel. Its host
+// is a loopback address that depends on the process ID, so that other harnesses
+// use another one. On 127.0.0.1 an outgoing connection could take the port before
+// the process that shall listen on it has started.
 func FreeAddress() (address string, err error) {
 	defer func() { err = trace.Wrap(err, "choosing a port") }()
 	pid := os.Getpid()
--- a/cmd/quaybench/fleet/fleet.go
+++ b/cmd/quaybench/fleet/fleet.go
@@ -20,7 +20,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Plan says what a fleet consists of.
+// Plan describes a fleet.
 type Plan struct {
 	Routers  int
 	Engines  int
@@ -29,26 +29,27 @@
 	Slots int
 	// DecodeInterval is the time between two tokens of one request.
 	DecodeInterval settings.Duration
-	// PrefillRate is the number of prompt tokens an engine reads in a second.
+	// PrefillRate is the number of prompt tokens that an engine processes per
+	// second.
 	PrefillRate float64
-	// ServiceLatency is how long a call to a plain service takes.
+	// ServiceLatency is the duration of a call at a plain service.
 	ServiceLatency settings.Duration
-	// ListLag is how old the box list is.
+	// ListLag is the age of the box list that the platform returns.
 	ListLag settings.Duration
 	// Customers are by name.
 	Customers map[string]settings.Customer
 	// Classes are by name.
 	Classes map[string]settings.Class
-	// Pool overrides the rules of the model pool; zero values mean the defaults.
+	// Pool overrides settings of the model pool; zero values mean the defaults.
 	Pool PoolPlan
-	// Box overrides settings of every router, as Key.Path=Value.
+	// Box overrides settings of every router; each entry reads Key.Path=Value.
 	Box []string
-	// Proxied puts a fault-injecting proxy before every endpoint, before the
-	// platform as each router sees it, and between each pair of routers.
+	// Proxied puts a fault-injecting proxy before every endpoint, between each
+	// router and the platform, and between each pair of routers.
 	Proxied bool
 }
 
-// PoolPlan is what experiments vary in the model pool.
+// PoolPlan holds the settings of the model pool that experiments vary.
 type PoolPlan struct {
 	Order      settings.OrderPolicy
 	SlotPolicy settings.SlotPolicy
@@ -57,25 +58,26 @@
 	MergeBound float64
 }
 
-// Names of what a fleet serves.
+// Names of the pools, the model and the path that a fleet serves.
 const (
 	ModelPool = "quay-llm"
 	PlainPool = "booking-api"
 	Model     = "quay-llm-8b"
-	// BookingPath leads to calls that must not be repeated.
+	// BookingPath is the path of calls that must run at most once.
 	BookingPath = "/bookings"
 )
 
-// zones are the availability zones that boxes are spread over.
+// zones are the availability zones over which boxes and endpoints are spread.
 var zones = []string{"lhr-a", "lhr-b", "isb-c"}
 
 // Fleet is a running fleet.
 type Fleet struct {
 	Plan Plan
-	// Bin holds the programs, Dir the settings, logs and ground truth.
+	// Bin is the folder of the programs. Settings, logs and ground truth are
+	// written to Dir.
 	Bin string
 	Dir string
-	// Grid holds the proxies when the plan asks for them.
+	// Proxies holds the proxies; nil unless the plan is Proxied.
 	Proxies *fault.ProxySet
 
 	Routers  []*Router
@@ -84,7 +86,7 @@
 	Platform *Process
 }
 
-// Router is a router's process with its addresses.
+// Router is the process of a router and its addresses.
 type Router struct {
 	*Process
 	CallerAddress   string
@@ -93,26 +95,28 @@
 	settingsFile    string
 }
 
-// CallerURL is where callers reach the router.
+// CallerURL returns the base URL for callers.
 func (r *Router) CallerURL() string {
 	return "http://" + r.CallerAddress
 }
 
-// Key is the bearer key of a customer in test fleets.
+// Key returns the bearer key of a customer in test fleets.
 func Key(customer string) string {
 	return "key-of-" + customer
 }
 
-// KeyHash is the hash that settings hold of a customer's key.
+// KeyHash returns the hash of a customer's key, as written in the settings.
 func KeyHash(customer string) string {
 	sum := sha256.Sum256([]byte(Key(customer)))
 	return hex.EncodeToString(sum[:])
 }
 
-// startTimeout bounds the wait for a process to answer.
+// startTimeout bounds the time that Poll waits, for example for a process to
+// start.
 const startTimeout = 20 * time.Second
 
-// Start starts every process and waits until all routers are ready.
+// Start starts all processes and waits until every router is ready and knows its
+// peers. On error it stops what it started.
 func (f *Fleet) Start(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
@@ -178,7 +182,7 @@
 	return nil
 }
 
-// stand starts a stand-in.
+// startStandIn starts a stand-in and waits until it accepts connections.
 func (f *Fleet) startStandIn(name, kind, address string, flags ...string) (*Process, error) {
 	process := &Process{
 		Name:    name,
@@ -194,7 +198,8 @@
 	return process, awaitListening(address)
 }
 
-// TruthFile is the log of ground truth of a stand-in.
+// TruthFile returns the path of the file to which a stand-in writes its ground
+// truth.
 func (f *Fleet) TruthFile(name string) string {
 	return filepath.Join(f.Dir, name+".truth")
 }
@@ -242,8 +247,8 @@
 	return nil
 }
 
-// writeBox writes the settings of a router. They name every other router, by
-// its proxy where there is one.
+// writeBox writes the settings file of router i. It lists every other router as
+// a peer, with the address of the proxy if there is one.
 func (f *Fleet) writeBox(i int, tree string) (err error) {
 	defer func() { err = trace.Wrap(err, "writing box settings") }()
 	router := f.Routers[i]
@@ -277,23 +282,23 @@
 	return os.WriteFile(router.settingsFile, text, 0o644)
 }
 
-// PeerLink names the proxy of one router's session to another.
+// PeerLink returns the link name of one router's session to another.
 func PeerLink(from, to string) string {
 	return "peer/" + from + "/" + to
 }
 
-// PlatformLink names the proxy between a router and the platform.
+// PlatformLink returns the link name between a router and the platform.
 func PlatformLink(router string) string {
 	return "platform/" + router
 }
 
-// EndpointLink names the proxy before an endpoint.
+// EndpointLink returns the link name of an endpoint.
 func EndpointLink(endpoint string) string {
 	return "endpoint/" + endpoint
 }
 
-// through returns the address at which another one is reached: that of its
-// proxy, if there are proxies.
+// proxiedAddress returns the address of the link's proxy, or address itself if
+// the fleet has no proxies.
 func (f *Fleet) proxiedAddress(link, address string) (string, error) {
 	if f.Proxies == nil {
 		return address, nil
@@ -301,7 +306,7 @@
 	return f.Proxies.Add(link, address)
 }
 
-// listBoxes tells the platform which boxes there are.
+// publishBoxList writes the box list to the platform.
 func (f *Fleet) publishBoxList() error {
 	var boxes []platform.ListedBox
 	for i, router := range f.Routers {
@@ -316,7 +321,7 @@
 	return PostJSON("http://"+f.Platform.Address+"/boxes", boxes)
 }
 
-// awaitMesh waits until every router hears every other one.
+// awaitPeers waits until every router lists all others as members.
 func (f *Fleet) awaitPeers(ctx context.Context) error {
 	for _, router := range f.Routers {
 		err := Poll(ctx, func() (bool, error) {
@@ -324,13 +329,13 @@
 			return err == nil && len(status.Members) == len(f.Routers)-1, nil
 		})
 		if err != nil {
-			return trace.Wrap(err, "waiting for %s to hear its peers", router.Name)
+			return trace.Wrap(err, "waiting for %s to know its peers", router.Name)
 		}
 	}
 	return nil
 }
 
-// Stop ends every process that is still running and the proxies.
+// Stop kills every process that is still running and stops the proxies.
 func (f *Fleet) Stop() {
 	for _, router := range f.Routers {
 		if router.Process != nil {
@@ -348,11 +353,11 @@
 	}
 }
 
-// awaitReady waits until a router takes callers.
+// awaitReady waits until a router reports that it is ready for callers.
 func awaitReady(ctx context.Context, router *Router) error {
 	err := Poll(ctx, func() (bool, error) {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+router.OperatorAddress+"/readyz", time.Second)
 		return err == nil && status == fasthttp.StatusOK, nil
 	})
-	return trace.Wrap(err, "waiting for %s to be ready; it printed:\n%s", router.Name, router.LogTail())
+	return trace.Wrap(err, "waiting for %s to be ready; end of its log:\n%s", router.Name, router.LogTail())
 }
--- a/cmd/quaybench/fleet/fleet_test.go
+++ b/cmd/quaybench/fleet/fleet_test.go
@@ -24,8 +24,8 @@
 	plainSource = &load.Source{Customer: "ward", Plain: true, Keyed: true}
 )
 
-// smallPlan is a fleet of three routers, two engines and one plain service,
-// with a proxy on every link.
+// smallPlan returns the plan of a fleet of three routers, two engines and one
+// plain service, with a proxy on every link.
 func smallPlan() fleet.Plan {
 	return fleet.Plan{
 		Routers:        3,
@@ -41,7 +41,8 @@
 	}
 }
 
-// withFleet runs a test against a running fleet.
+// withFleet runs a test against a running fleet, and fails if the race detector
+// reported a data race in one of its processes.
 func withFleet(t *testing.T, plan fleet.Plan, test func(f *fleet.Fleet)) {
 	t.Helper()
 	bin, err := filepath.Abs("../../../bin/test")
@@ -55,7 +56,7 @@
 	So(races, ShouldBeEmpty)
 }
 
-// inBackground makes a call and returns a function that waits for its record.
+// inBackground starts a request and returns a function that waits for its record.
 func inBackground(ctx context.Context, caller *load.Runner, arrival load.Arrival) func() load.Record {
 	var record load.Record
 	group := errgroup.Group{}
@@ -69,7 +70,7 @@
 	}
 }
 
-// events counts the ground truth of a request.
+// countEvents counts the events of a kind in the ground truth that match.
 func countEvents(f *fleet.Fleet, kind truth.Kind, matches func(truth.Event) bool) (count int) {
 	all, err := f.Truth()
 	So(err, ShouldBeNil)
@@ -89,7 +90,7 @@
 	return func(event truth.Event) bool { return event.Key == key }
 }
 
-// awaitEvent waits until the ground truth shows an event.
+// awaitEvent waits until the ground truth holds a matching event.
 func awaitEvent(t *testing.T, f *fleet.Fleet, kind truth.Kind, matches func(truth.Event) bool) {
 	So(fleet.Poll(t.Context(), func() (bool, error) {
 		return countEvents(f, kind, matches) > 0, nil
@@ -126,7 +127,7 @@
 				So(record.Crossed, ShouldBeFalse)
 			})
 
-			Convey("a caller who goes away frees the engine's slot", func() {
+			Convey("a caller that cancels its request frees the engine's slot", func() {
 				ctx, cancel := context.WithCancel(t.Context())
 				wait := inBackground(ctx, caller, long)
 				awaitEvent(t, f, truth.First, ofRequest("long"))
@@ -220,7 +221,7 @@
 				So(countEvents(f, truth.Started, ofKey("d")), ShouldEqual, 0)
 			})
 
-			Convey("a router paused with its call on the way does not run it a second time", func() {
+			Convey("a router that is paused while its call is sent does not run it a second time", func() {
 				So(f.Proxies.Inject(fleet.EndpointLink(f.Services[0].Name), fault.Toxic{
 					Type: "latency", Upstream: true, Attributes: map[string]int{"latency": 500},
 				}), ShouldBeNil)
@@ -278,7 +279,7 @@
 				awaitEvent(t, f, truth.Started, ofRequest(id))
 			}
 
-			Convey("a planned stop finishes all of them and the process ends well", func() {
+			Convey("a planned stop finishes all of them and the process exits with status 0", func() {
 				So(f.Routers[0].Terminate(), ShouldBeNil)
 				for _, wait := range waits {
 					So(wait().Whole, ShouldBeTrue)
@@ -298,7 +299,7 @@
 				load.Arrival{ID: "long", Input: 20, Output: 500, Source: modelSource})
 			awaitEvent(t, f, truth.First, ofRequest("long"))
 
-			Convey("the process ends, says what was left, and the stream is visibly cut", func() {
+			Convey("the process exits with status 1, logs what was left, and the stream is visibly cut", func() {
 				So(f.Routers[0].Terminate(), ShouldBeNil)
 				So(f.Routers[0].Wait(), ShouldEqual, 1)
 				So(f.Routers[0].LogTail(), ShouldContainSubstring, "planned stop passed its limit\" InFlight=1")
@@ -318,7 +319,7 @@
 			So(output, ShouldContainSubstring, "in force on 3 boxes")
 			So(status, ShouldEqual, 0)
 
-			Convey("of racing operators exactly one wins a revision, and the other is told", func() {
+			Convey("of concurrent changes exactly one gets the revision, and the others get a conflict", func() {
 				results := make([]int, 4)
 				group := errgroup.Group{}
 				for i := range results {
@@ -338,7 +339,7 @@
 				So(won, ShouldEqual, 1)
 			})
 
-			Convey("an answer lost after the write is settled by reading", func() {
+			Convey("after the response to a write is lost, quayctl reads whether the write took effect", func() {
 				So(f.Platform.Control(platform.Faults{LoseAnswers: 1}), ShouldBeNil)
 				status, output := apply("--expect", "1")
 				So(output, ShouldContainSubstring, "in force on 3 boxes")
--- a/cmd/quaybench/fleet/links.go
+++ b/cmd/quaybench/fleet/links.go
@@ -15,8 +15,8 @@
 	"github.com/quaylead/quaylead/cmd/quaystand/truth"
 )
 
-// Partition cuts the routers with these numbers off from all others: nothing
-// passes either way, and nobody is told.
+// Partition cuts the links between the routers with these indexes and all
+// others. Data is dropped in both directions; connections stay open.
 func (f *Fleet) Partition(numbers []int) error {
 	return f.forEachPeerLink(func(from, to int) error {
 		if slices.Contains(numbers, from) == slices.Contains(numbers, to) {
@@ -26,7 +26,7 @@
 	})
 }
 
-// Rejoin heals the links between all routers.
+// Rejoin removes the faults from the links between all routers.
 func (f *Fleet) Rejoin() error {
 	return f.forEachPeerLink(func(from, to int) error {
 		return f.Proxies.Heal(PeerLink(f.Routers[from].Name, f.Routers[to].Name))
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Truth reads the ground truth of all endpoints, in order of time.
+// Truth returns the ground truth of all endpoints, in order of time.
 func (f *Fleet) Truth() (events []truth.Event, err error) {
 	for _, process := range slices.Concat(f.Engines, f.Services) {
 		processEvents, err := truth.Read(f.TruthFile(process.Name))
@@ -60,7 +60,7 @@
 	return events, nil
 }
 
-// Caller makes callers of this fleet.
+// Caller returns a runner that sends requests to the routers of the fleet.
 func (f *Fleet) Caller(timeout time.Duration) *load.Runner {
 	runner := &load.Runner{Key: Key, Model: Model, Path: BookingPath, Timeout: timeout}
 	for _, router := range f.Routers {
@@ -69,8 +69,7 @@
 	return runner
 }
 
-// Quayctl runs an operator's command against a router,
-// and returns its exit status and what it printed.
+// Quayctl runs quayctl against a router and returns its exit status and output.
 func (f *Fleet) Quayctl(router int, args ...string) (status int, output string) {
 	fullArgs := append([]string{"--box", f.Routers[router].OperatorAddress}, args...)
 	command := exec.Command(filepath.Join(f.Bin, "quayctl"), fullArgs...)
@@ -81,12 +80,12 @@
 	return command.ProcessState.ExitCode(), string(text)
 }
 
-// TreeFile is the settings tree that the fleet was started with.
+// TreeFile returns the path of the settings tree that the fleet was started with.
 func (f *Fleet) TreeFile() string {
 	return filepath.Join(f.Dir, treeFileName)
 }
 
-// PlatformCounts reads how often the platform was called.
+// PlatformCounts returns the platform's counts of reads, writes and bytes.
 func (f *Fleet) PlatformCounts() (counts platform.Counts, err error) {
 	defer func() { err = trace.Wrap(err, "reading the platform's counts") }()
 	_, body, err := fasthttp.GetTimeout(nil, "http://"+f.Platform.Address+"/counts", callTimeout)
--- a/cmd/quaybench/fleet/process.go
+++ b/cmd/quaybench/fleet/process.go
@@ -17,19 +17,20 @@
 	"github.com/quaylead/quaylead/pkg/router"
 )
 
-// Process is one program that the harness started.
+// Process is a program that the harness starts. Address is the address on which it
+// serves callers or routers.
 type Process struct {
 	Name    string
 	Address string
 	Path    string
 	Args    []string
-	// LogFile takes what the program prints.
+	// LogFile receives the output of the program; each start appends to it.
 	LogFile string
 
 	command *exec.Cmd
 }
 
-// Start starts the program; after it ended it may be started again.
+// Start starts the program. It may be called again once the program has ended.
 func (p *Process) Start() (err error) {
 	defer func() { err = trace.Wrap(err, "starting %s", p.Name) }()
 	log, err := os.OpenFile(p.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -40,12 +41,12 @@
 	p.command = exec.Command(p.Path, p.Args...)
 	p.command.Stdout = log
 	p.command.Stderr = log
-	// A killed harness leaves no processes behind.
+	// The kernel kills the program if the harness dies, so that none is left.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return p.command.Start()
 }
 
-// Printed is the end of what the process has printed.
+// LogTail returns the end of the program's output, or the error of reading it.
 func (p *Process) LogTail() string {
 	const maxBytes = 2000
 	text, err := os.ReadFile(p.LogFile)
@@ -60,17 +61,19 @@
 	return trace.Wrap(p.command.Process.Signal(signal))
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process (SIGKILL) and waits for its end. It does nothing if the
+// process was never started or has ended.
 func (p *Process) Kill() {
 	if p.command == nil || p.command.ProcessState != nil {
 		return
 	}
-	// A process that has ended by itself needs no kill.
+	// An error means that the process has ended already.
 	_ = p.command.Process.Kill()
 	_ = p.command.Wait()
 }
 
-// Terminated ends the process at once, as Kill does, in the form of a step.
+// KillAction calls Kill and returns nil. It has the signature of the other methods
+// that serve as fault actions, such as Pause.
 func (p *Process) KillAction() error {
 	p.Kill()
 	return nil
@@ -78,29 +81,29 @@
 
 // Wait waits for the process to end and returns its exit status.
 func (p *Process) Wait() int {
-	// The status tells what the error would.
+	// The exit status already holds what the error reports.
 	_ = p.command.Wait()
 	return p.command.ProcessState.ExitCode()
 }
 
-// Pause stops the process in its tracks until Continue.
+// Pause suspends the process (SIGSTOP) until Continue.
 func (p *Process) Pause() error { return p.Signal(syscall.SIGSTOP) }
 
-// Continue lets a paused process go on.
+// Continue resumes a paused process (SIGCONT).
 func (p *Process) Continue() error { return p.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process for a planned stop.
+// Terminate requests a planned stop of the process (SIGTERM).
 func (p *Process) Terminate() error { return p.Signal(syscall.SIGTERM) }
 
-// callTimeout bounds the harness's own calls.
+// callTimeout bounds the HTTP requests that the harness itself sends.
 const callTimeout = 5 * time.Second
 
-// Control changes a stand-in while it runs.
+// Control sends a control message, such as a set of faults, to a running stand-in.
 func (p *Process) Control(control any) error {
 	return PostJSON("http://"+p.Address+"/control", control)
 }
 
-// Status reads a router's own account.
+// Status returns the status that the router reports to operators.
 func (r *Router) Status() (status router.Status, err error) {
 	defer func() { err = trace.Wrap(err, "reading the status of %s", r.Name) }()
 	_, body, err := fasthttp.GetTimeout(nil, "http://"+r.OperatorAddress+"/status", callTimeout)
@@ -110,7 +113,7 @@
 	return status, json.Unmarshal(body, &status)
 }
 
-// PostJSON sends a value and expects status 200.
+// PostJSON sends value as JSON and returns an error unless the status is 200.
 func PostJSON(url string, value any) (err error) {
 	defer func() { err = trace.Wrap(err, "posting to %s", url) }()
 	body, err := json.Marshal(value)
@@ -131,10 +134,11 @@
 	return nil
 }
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// Poll looks at a condition until it holds, within startTimeout.
+// Poll checks a condition at intervals until it holds. It returns an error if the
+// condition returns one, and after startTimeout.
 func Poll(ctx context.Context, condition func() (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -153,7 +157,7 @@
 	}
 }
 
-// awaitAccept waits until an address takes connections.
+// awaitListening waits until an address accepts connections.
 func awaitListening(address string) error {
 	return Poll(context.Background(), func() (bool, error) {
 		c, err := net.DialTimeout("tcp", address, time.Second)
@@ -164,12 +168,13 @@
 	})
 }
 
-// raceMark is what the race detector prints first.
+// raceWarning is the first line of a report by the race detector.
 const raceWarning = "WARNING: DATA RACE"
 
-// Races lists the processes in which the race detector found something.
+// Races returns the log files of processes in which the race detector reported a
+// data race.
 func (f *Fleet) Races() (names []string, err error) {
-	defer func() { err = trace.Wrap(err, "looking for data races") }()
+	defer func() { err = trace.Wrap(err, "searching the logs for data races") }()
 	logs, err := filepath.Glob(filepath.Join(f.Dir, "*.log"))
 	if err != nil {
 		return nil, err
--- a/cmd/quaybench/fleet/tree.go
+++ b/cmd/quaybench/fleet/tree.go
@@ -9,7 +9,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// tree is the settings tree of a test fleet.
+// tree is the settings tree of a test fleet, as written to TOML.
 type tree struct {
 	Classes   map[string]settings.Class
 	Customers map[string]customerTree
@@ -91,10 +91,10 @@
 	return path, os.WriteFile(path, text, 0o644)
 }
 
-// treeName is the file of the settings tree in the fleet's folder.
+// treeFileName is the name of the settings tree's file in Fleet.Dir.
 const treeFileName = "fleet.toml"
 
-// serviceSlots is the number of calls a plain service takes at once.
+// serviceSlots is the number of concurrent calls of a plain service.
 const serviceSlots = 64
 
 func (f *Fleet) endpointTrees(processes []*Process, slots int) (map[string]endpointTree, error) {
