--- a/cmd/quaybench/load/caller.go
+++ b/cmd/quaybench/load/caller.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// send makes one call and reads its answer to the end.
+// send sends one request and reads its response to the end.
 func (r *Runner) send(ctx context.Context, arrival Arrival) (record Record) {
 	record = Record{Arrival: arrival, Sent: time.Now()}
 	defer func() { record.End = time.Now() }()
@@ -83,11 +83,13 @@
 	Content string `json:"content"`
 }
 
-// bytesPerToken is the length of a prompt's token at the stand-in.
+// bytesPerToken is the number of bytes that the stand-in counts as one token of
+// a prompt.
 const bytesPerToken = 4
 
-// modelBody writes a prompt of the wanted length. The stand-in takes the true
-// length of the answer from the metadata, which the router does not read.
+// encodeModelBody returns a request body with a prompt of the wanted length. The
+// stand-in reads the length of its output from the metadata, which the router
+// does not read.
 func (r *Runner) encodeModelBody(arrival *Arrival) []byte {
 	text := arrival.ID + strings.Repeat(" ask", max(0, arrival.Input-len(arrival.ID)/bytesPerToken-8))
 	body := modelBody{
@@ -114,8 +116,8 @@
 	} `json:"choices"`
 }
 
-// readStream reads server-sent events and checks that every token belongs to
-// this request and is the next one.
+// readStream reads server-sent events and checks that each holds the next token
+// of this request.
 func (r *Record) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	done := false
@@ -131,7 +133,7 @@
 		}
 		var event streamEvent
 		if json.Unmarshal([]byte(data), &event) != nil || len(event.Choices) == 0 {
-			r.Error = "an event that is no token: " + data
+			r.Error = "event without a token: " + data
 			continue
 		}
 		r.Tokens++
@@ -154,7 +156,7 @@
 	r.Whole = done && r.Tokens == r.Output && !r.Crossed
 }
 
-// plainAnswer is what the stand-in of a plain service answers.
+// plainResponse is the response body of a stand-in for a plain service.
 type plainResponse struct {
 	Request string
 	Key     string
--- a/cmd/quaybench/load/load.go
+++ b/cmd/quaybench/load/load.go
@@ -1,6 +1,7 @@
-// Package load makes callers: open-loop arrivals drawn from a seed, and a
-// record of what each caller got. Callers use the standard library's client,
-// so that no fault of the router's own code can hide itself.
+// Package load generates load: open-loop arrivals drawn from a seed, and a record
+// of the response to each request. Callers use the HTTP client of the standard
+// library. It shares no code with the router, so a fault of the router's HTTP
+// code cannot be hidden by the same fault in the caller.
 package load
 
 import (
@@ -18,31 +19,34 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Source is one customer's stream of requests.
+// Source describes the requests of one customer.
 type Source struct {
 	Customer string
 	// Share is the customer's weight.
 	Share float64
-	// Rate is the mean number of requests a second.
+	// Rate is the mean number of requests per second.
 	Rate float64
-	// Routers are the routers the customer's callers use, counted from 0;
-	// empty means all.
+	// Routers are the indexes of the routers that the callers use, counted from
+	// 0; empty means all.
 	Routers []int
-	// InputTokens and OutputTokens bound the sizes, drawn evenly.
+	// InputTokens and OutputTokens are the bounds of the sizes, which are drawn
+	// from a uniform distribution.
 	InputTokens  [2]int
 	OutputTokens [2]int
-	// HintFactor multiplies the true output into the limit that the caller
-	// states; 0 means that none is stated.
+	// HintFactor, times the true output length, is the max_tokens of a request.
+	// It is never below the true length; with 0 the request has no max_tokens.
 	HintFactor float64
-	// Class is named in the request; empty means that it is not.
+	// Class is the class that the request names; empty means none.
 	Class string
-	// Plain sources call a plain service in place of a model.
+	// Plain sources call a plain service instead of a model.
 	Plain bool
-	// Keyed plain calls carry an idempotency key and must run at most once.
+	// Keyed plain calls have an idempotency key and must run at most once.
 	Keyed bool
-	// RepeatKeys is the part of keyed calls that use the key of an earlier one.
+	// RepeatKeys is the fraction of keyed calls that use the key of an earlier
+	// call.
 	RepeatKeys float64
-	// From and Until bound the time of arrivals; Until 0 means the end.
+	// From and Until bound the time of arrivals; Until 0 means the end of the
+	// run.
 	From  settings.Duration
 	Until settings.Duration
 }
@@ -56,11 +60,12 @@
 	Input  int
 	Output int
 	Source *Source
-	// Timeout is stated to the router; 0 means that none is.
+	// Timeout is sent to the router in a header; 0 means none.
 	Timeout time.Duration
 }
 
-// Trace draws all arrivals of a run. The same seed gives the same trace.
+// Trace draws the arrivals of a run, sorted by time. The same arguments give the
+// same trace.
 func Trace(sources []Source, routers int, length time.Duration, seed uint64) []Arrival {
 	var trace []Arrival
 	for i := range sources {
@@ -119,50 +124,53 @@
 	return low + random.IntN(max(1, bounds[1]-low+1))
 }
 
-// Record is what one caller saw.
+// Record is one request and its response as the caller saw them.
 type Record struct {
 	Arrival
-	// Sent, First and End are when the request was sent, its first token came,
-	// and its answer ended. First is zero when none came.
+	// Sent, First and End are the times at which the request was sent, its first
+	// token was received, and its response ended. First is zero if no token was
+	// received. For a plain call it is the time of the whole response.
 	Sent  time.Time
 	First time.Time
 	End   time.Time
-	// Status is that of the answer; 0 means that there was none.
+	// Status is the HTTP status; 0 means no response.
 	Status int
-	// Run is the header Quaylead-Run.
+	// RunStatus is the value of the header Quaylead-Run.
 	RunStatus string
-	// Code is the code of a refusal.
+	// Code is the error code of a refusal.
 	Code string
-	// Tokens were received.
+	// Tokens is the number of tokens received.
 	Tokens int
-	// Clean tells that the connection showed no break before the answer's end. A
-	// clean answer that is not whole was passed off as whole.
+	// CleanEOF reports whether the response body ended without an error. If it
+	// did and Whole is false, the caller could take a part of a response for all
+	// of it.
 	CleanEOF bool
-	// Whole tells that it held everything that this request asked for.
+	// Whole reports whether the response was complete.
 	Whole bool
-	// Crossed tells that it held something of another request.
+	// Crossed reports whether the response held data of another request.
 	Crossed bool
-	// Runs is how often a plain service says that it ran the call.
+	// Runs is how often the call ran, as reported by the plain service.
 	Runs int
-	// Fault is what went wrong at the caller's side.
+	// Error is the error that the caller got, or the reason why the response
+	// could not be parsed.
 	Error string
-	// Gaps are the times between tokens.
+	// Gaps are the times between consecutive tokens.
 	Gaps []time.Duration
 }
 
-// Runner sends a trace.
+// Runner sends requests to routers.
 type Runner struct {
-	// URLs are the routers' addresses.
+	// URLs are the base URLs of the routers.
 	URLs []string
-	// Key gives a customer's bearer key.
+	// Key returns the bearer key of a customer.
 	Key func(customer string) string
-	// Model is the model asked for.
+	// Model is the model that requests name.
 	Model string
 	// Path is the path of plain calls.
 	Path string
-	// Timeout bounds each request.
+	// Timeout bounds each request, at the caller.
 	Timeout time.Duration
-	// Progress is called about every second.
+	// Progress, if not nil, is called about every second.
 	Progress func(at time.Duration, sent, ended int)
 
 	client  http.Client
@@ -170,12 +178,13 @@
 	records []Record
 }
 
-// Call makes one call at once and returns what the caller saw.
+// Call sends one request at once and returns its record.
 func (r *Runner) Call(ctx context.Context, arrival Arrival) Record {
 	return r.send(ctx, arrival)
 }
 
-// Run sends every request at its time and returns what the callers saw.
+// Run sends every request of the trace at its time and returns the records, in
+// the order in which the requests ended.
 func (r *Runner) Run(ctx context.Context, trace []Arrival) (records []Record, err error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}
 	defer transport.CloseIdleConnections()
--- a/cmd/quaybench/measure/measure.go
+++ b/cmd/quaybench/measure/measure.go
@@ -1,5 +1,6 @@
-// Package measure computes the measures of a run from what callers saw and
-// from the stand-ins' ground truth, never from what a router says of itself.
+// Package measure computes the metrics of a run from the records of callers and
+// the ground truth of the stand-ins, never from what routers report about
+// themselves.
 package measure
 
 import (
@@ -12,106 +13,114 @@
 	"github.com/quaylead/quaylead/cmd/quaystand/truth"
 )
 
-// Input is what a run left behind.
+// Input is the data of a run that the metrics are computed from.
 type Input struct {
 	Records []load.Record
-	// Truth is the events of all endpoints.
+	// Truth holds the events of all endpoints, in order of time.
 	Truth []truth.Event
-	// Shares are the customers' weights.
+	// Shares holds the share of each customer.
 	Shares map[string]float64
-	// InputWeight and OutputWeight turn tokens into service.
+	// InputWeight and OutputWeight are the service that one token counts for.
 	InputWeight  float64
 	OutputWeight float64
-	// Slots is the number of slots of all engines together.
+	// Slots is the total number of slots of all engines.
 	Slots int
-	// From and Until bound the time that is judged.
+	// From and Until bound the time that the metrics cover.
 	From, Until time.Time
 }
 
-// Latency is the quantiles of a set of durations, in milliseconds.
+// Latency holds quantiles of a set of durations, in milliseconds.
 type Latency struct {
 	Count         int
 	P50, P95, P99 float64
 }
 
-// Result is what result.json holds.
+// Result holds the metrics of a run. It is written to result.json.
 type Result struct {
 	// FairnessGap is the largest difference of service divided by share, in
 	// weighted tokens, over all intervals in which two customers were both
 	// backlogged throughout. FairnessPair names the two.
 	FairnessGap  float64
 	FairnessPair [2]string
-	// FairnessBound is what a single queue guarantees for these request sizes.
+	// FairnessBound is the gap that a single queue guarantees for these request
+	// sizes.
 	FairnessBound float64
-	// Utilisation is busy slot-time over available slot-time while any request
-	// waited; WaitingSeconds is how long that was.
+	// Utilisation is the fraction of slot time that was in use while any request
+	// waited; WaitingSeconds is for how long any request waited.
 	Utilisation    float64
 	WaitingSeconds float64
-	// ControlBytesPerSecond is the mean for one box, sent and received.
+	// ControlBytesPerSecond is the mean control traffic of a box, sent and
+	// received.
 	ControlBytesPerSecond float64
-	// OverheadP50 and OverheadP99 are what a router adds to a call to a plain
-	// service, in milliseconds; 0 when the fleet has no plain service.
+	// OverheadP50 and OverheadP99 are the latency that a router adds to a call to
+	// a plain service, in milliseconds; 0 if the fleet has no plain service.
 	OverheadP50, OverheadP99 float64
-	// FirstToken and BetweenTokens are in milliseconds, by class.
+	// FirstToken and BetweenTokens are the time to the first token and the time
+	// between two tokens, in milliseconds, by class.
 	FirstToken    map[string]Latency
 	BetweenTokens map[string]Latency
 	// Refusals counts refusals by code.
 	Refusals map[string]int
-	// Requests, Whole and VisiblyCut count callers' requests, the answers that
-	// came whole, and those that ended visibly cut or not at all.
+	// Requests counts the requests, Whole the complete responses, and VisiblyCut
+	// the requests that got no response or a response that broke off with an
+	// error.
 	Requests   int
 	Whole      int
 	VisiblyCut int
-	// TokensPerSecond is the output of all engines.
+	// TokensPerSecond is the output rate of all engines together.
 	TokensPerSecond float64
-	// Settings judges operators who raced; nil when there were none.
+	// Settings holds the metrics of operators; nil if there were none.
 	Settings *Settings `json:",omitempty"`
-	// Service is weighted tokens by customer.
+	// Service is the service received, in weighted tokens, by customer.
 	Service map[string]float64
 
-	// The counts that must be zero.
+	// The following counts must be zero.
 
-	// DoubleRuns counts calls that had to run at most once and ran again.
+	// DoubleRuns counts the repeated runs of calls that must run at most once.
 	DoubleRuns int
-	// FalseNotRun counts refusals that said not-run of a request that was run.
+	// FalseNotRun counts refusals that reported not-run though the request ran.
 	FalseNotRun int
-	// CutAnswers counts answers that ended cleanly without being whole.
+	// CutAnswers counts incomplete responses that ended without an error.
 	CutAnswers int
-	// CrossedAnswers counts answers with something of another request.
+	// CrossedAnswers counts responses that held data of another request.
 	CrossedAnswers int
-	// StarvedCustomers counts customers who waited for StarvedAfter without
-	// any service while others had some.
+	// StarvedCustomers counts customers whose requests waited for
+	// StarvationThreshold without any service.
 	StarvedCustomers int
 }
 
-// Settings is the verdict on operators who race to change the settings.
+// Settings holds the metrics of operators that concurrently change the settings.
 type Settings struct {
-	// Acceptances, Conflicts and Unknown count what operators were told.
+	// Acceptances, Conflicts and Unknown count the outcomes of changes, as
+	// reported to the operators.
 	Acceptances int
 	Conflicts   int
 	Unknown     int
-	// InForceP50 and InForceP99 are the times from acceptance, or from when a
-	// router could be reached again, to being in force there, in milliseconds.
+	// InForceP50 and InForceP99 are the times until an accepted change is in
+	// force at a router, in milliseconds. They count from the acceptance, or
+	// from the time at which the router became reachable again.
 	InForceP50, InForceP99 float64
 
-	// The counts that must be zero.
+	// The following counts must be zero.
 
-	// LostAcceptances counts changes that an operator was told are accepted and
-	// that the history does not hold.
+	// LostAcceptances counts changes that were reported as accepted but are not
+	// in the history.
 	LostAcceptances int
-	// DoubleAcceptances counts revisions that two operators were told they have.
+	// DoubleAcceptances counts the changes that were reported as accepted with
+	// the revision of another accepted change.
 	DoubleAcceptances int
-	// Reverts counts routers going back to a lower revision.
+	// Reverts counts how often a router went back to a lower revision.
 	Reverts int
 }
 
-// StarvedAfter is the wait without any service that counts as starving.
+// StarvationThreshold is the time for which a customer's requests wait without
+// any service before the customer counts as starved.
 const StarvationThreshold = 10 * time.Second
 
-// grid is the step at which service curves are compared.
+// stepInterval is the length of one step of the service curves.
 const stepInterval = 50 * time.Millisecond
 
-// Zero tells whether every count that must be zero is.
+// Passed reports whether every count that must be zero is zero.
 func (r *Result) Passed() bool {
 	count := r.DoubleRuns + r.FalseNotRun + r.CutAnswers + r.CrossedAnswers + r.StarvedCustomers
 	if r.Settings != nil {
@@ -120,13 +129,14 @@
 	return count == 0
 }
 
-// run is one request's time at an engine, from the ground truth.
+// engineRun is one run of a request at an engine, from the ground truth.
 type engineRun struct {
 	started, first, end time.Time
 	input, output       int
 }
 
-// Compute computes all measures but those of control traffic.
+// Compute computes all metrics but those of control traffic, overhead and
+// settings.
 func Compute(in Input) Result {
 	result := Result{
 		FirstToken:    map[string]Latency{},
@@ -138,7 +148,7 @@
 	countResponses(&result, &in, runs)
 	countDoubleRuns(&result, &in)
 	computeLatencies(&result, &in)
-	curves := newCurves(&in, runs)
+	curves := newServiceCurves(&in, runs)
 	curves.computeFairness(&result)
 	curves.computeUtilisation(&result)
 	curves.countStarved(&result)
@@ -147,7 +157,8 @@
 	return result
 }
 
-// collectRuns gathers every run of every request.
+// collectRuns returns the runs of each request, by request ID. Runs that did not
+// end within the ground truth end at until.
 func collectRuns(events []truth.Event, until time.Time) map[string][]engineRun {
 	runs := map[string][]engineRun{}
 	for _, event := range events {
@@ -189,7 +200,7 @@
 	}
 }
 
-// countRuns counts calls with a key that were run more than once.
+// countDoubleRuns counts the repeated runs of calls with an idempotency key.
 func countDoubleRuns(result *Result, in *Input) {
 	byKey := map[string]int{}
 	for _, event := range in.Truth {
@@ -225,7 +236,7 @@
 	}
 }
 
-// Quantiles summarises durations.
+// Quantiles returns the quantiles of durations.
 func Quantiles(durations []time.Duration) Latency {
 	if len(durations) == 0 {
 		return Latency{}
@@ -239,8 +250,8 @@
 	return Latency{Count: len(sorted), P50: at(0.5), P95: at(0.95), P99: at(0.99)}
 }
 
-// bound is that of a single queue: twice the larger of the longest prompt and
-// a whole batch of answers.
+// fairnessBound returns the bound for a single queue: twice the service of the
+// longest prompt or of a full batch of the longest outputs, whichever is larger.
 func fairnessBound(in *Input) float64 {
 	maxInput, maxOutput := 0, 0
 	for _, record := range in.Records {
@@ -254,20 +265,21 @@
 	return 2 * math.Max(in.InputWeight*float64(maxInput), in.OutputWeight*batch)
 }
 
-// curves are service and waiting of each customer over time, on the grid.
+// serviceCurves holds the service and the waiting requests of each customer over
+// time, in steps of stepInterval.
 type serviceCurves struct {
 	in        *Input
 	customers []string
-	// service is weighted tokens up to each step.
+	// service is the service received up to each step, in weighted tokens.
 	service map[string][]float64
-	// waiting is the number of requests waiting at each step.
+	// waiting is the number of requests that wait throughout each step.
 	waiting map[string][]int
-	// busy is the number of slots in use at each step.
+	// busy is the mean number of slots in use in each step.
 	busy  []float64
 	steps int
 }
 
-func newCurves(in *Input, runs map[string][]engineRun) *serviceCurves {
+func newServiceCurves(in *Input, runs map[string][]engineRun) *serviceCurves {
 	c := &serviceCurves{
 		in:      in,
 		service: map[string][]float64{},
@@ -292,7 +304,9 @@
 	return c
 }
 
-// add puts one request into the curves: service as increments for each step.
+// addRequest adds one request to the curves. The service is added to each step as
+// an increment, to be accumulated later. Input counts at the first token, output
+// is spread evenly from the first token to the end.
 func (c *serviceCurves) addRequest(record *load.Record, runs []engineRun) {
 	customer := record.Source.Customer
 	waitsUntil := record.End
@@ -325,8 +339,9 @@
 	}
 }
 
-// eachStep visits the steps of a time with the part of each that it covers.
-func (c *serviceCurves) forEachStep(from, until time.Time, visit func(step int, part float64)) {
+// forEachStep calls visit for each step between from and until, with the fraction
+// of the step that lies between them.
+func (c *serviceCurves) forEachStep(from, until time.Time, visit func(step int, fraction float64)) {
 	begin := float64(from.Sub(c.in.From)) / float64(stepInterval)
 	end := float64(until.Sub(c.in.From)) / float64(stepInterval)
 	for step := max(0, int(begin)); step < c.steps && float64(step) < end; step++ {
@@ -344,7 +359,8 @@
 	}
 }
 
-// fairness finds the largest gap over all pairs.
+// computeFairness sets the service of each customer and the largest gap of all
+// pairs.
 func (c *serviceCurves) computeFairness(result *Result) {
 	for _, customer := range c.customers {
 		result.Service[customer] = c.service[customer][c.steps-1]
@@ -359,8 +375,8 @@
 	}
 }
 
-// pairGap is the widest range of the difference of two curves within any
-// interval in which both customers waited throughout.
+// pairGap returns the largest range of the difference between two curves, divided
+// by share, within any interval in which both customers were backlogged throughout.
 func (c *serviceCurves) pairGap(a, b string) (gap float64) {
 	low, high := math.Inf(1), math.Inf(-1)
 	for step := range c.steps {
@@ -376,7 +392,7 @@
 	return gap
 }
 
-// utilisation counts busy slot-time while anything waits.
+// computeUtilisation sets the utilisation of the slots while any request waits.
 func (c *serviceCurves) computeUtilisation(result *Result) {
 	used, available := 0.0, 0.0
 	for step := range c.steps {
@@ -401,7 +417,8 @@
 	return false
 }
 
-// throughput is the output of all engines over the time that is judged.
+// computeThroughput sets the output rate of all engines over the time that the
+// metrics cover.
 func (c *serviceCurves) computeThroughput(result *Result, runs map[string][]engineRun) {
 	tokens := 0
 	for _, requestRuns := range runs {
@@ -412,7 +429,8 @@
 	result.TokensPerSecond = float64(tokens) / c.in.Until.Sub(c.in.From).Seconds()
 }
 
-// starved counts customers that waited long without any service.
+// countStarved counts the customers that waited for StarvationThreshold without
+// any service.
 func (c *serviceCurves) countStarved(result *Result) {
 	limit := int(StarvationThreshold / stepInterval)
 	for _, customer := range c.customers {
--- a/cmd/quaybench/measure/plot.go
+++ b/cmd/quaybench/measure/plot.go
@@ -10,17 +10,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of plots.
+// Size of plots.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot draws each customer's service divided by its share over time, thick
-// where it is backlogged, into an SVG or PNG file by its name's ending.
+// Plot writes a plot of each customer's service divided by its share over time.
+// The line is thick while the customer is backlogged. The extension of path sets
+// the format, such as SVG or PNG.
 func Plot(in Input, path string) (err error) {
 	defer func() { err = trace.Wrap(err, "plotting service") }()
-	c := newCurves(&in, collectRuns(in.Truth, in.Until))
+	c := newServiceCurves(&in, collectRuns(in.Truth, in.Until))
 	p := plot.New()
 	p.Title.Text = "Service by customer, divided by share"
 	p.X.Label.Text = "seconds"
