--- a/cmd/quaybench/cmds/commands.go
+++ b/cmd/quaybench/cmds/commands.go
@@ -1,4 +1,4 @@
-// Package cmds is the command line of quaybench.
+// Package cmds implements the command line of quaybench.
 package cmds
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// errNotZero reports that a count that must be zero is not.
+// errCheckFailed is returned if a count that must be zero is not.
 var errCheckFailed = errors.New("a count that must be zero is not")
 
 // Execute runs the command line and returns the exit status.
@@ -22,11 +22,11 @@
 	return 0
 }
 
-// New returns the tree of commands.
+// New returns the root command with all subcommands.
 func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "quaybench",
-		Short:         "Load, break and measure small fleets on one machine",
+		Short:         "Run small fleets on one machine under load and faults, and measure them",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -34,7 +34,8 @@
 	return root
 }
 
-// binDir is where the other programs lie: beside this one.
+// binDir returns the folder of the running program, which holds the other
+// programs too.
 func binDir() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
--- a/cmd/quaybench/cmds/compare.go
+++ b/cmd/quaybench/cmds/compare.go
@@ -20,19 +20,19 @@
 	var rounds int
 	command := &cobra.Command{
 		Use:   "compare A.toml B.toml",
-		Short: "Run two experiments in turn and print the ratios, pair by pair",
+		Short: "Run two experiments alternately and print the ratios for each round",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			return opts.compare(command, args, rounds)
 		},
 	}
 	opts.addFlags(command)
-	command.Flags().IntVar(&rounds, "rounds", 3, "how often the two are run in turn")
+	command.Flags().IntVar(&rounds, "rounds", 3, "the number of rounds; each runs both experiments once")
 	return command
 }
 
-// compare runs both experiments in turn, so that a noisy machine is as noisy
-// for both. The trace of a round is the same for both.
+// compare runs both experiments alternately, so that noise of the machine
+// affects both alike. Within a round both use the same seed.
 func (o *runOptions) compare(command *cobra.Command, files []string, rounds int) error {
 	dir, cleanup, err := o.outputDir()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return table.Flush()
 }
 
-// quiet runs an experiment without progress lines.
+// runQuietly runs an experiment without progress lines.
 func (o *runOptions) runQuietly(ctx context.Context, e experiment.Experiment, dir string, seed uint64) (result measure.Result, err error) {
 	bin, err := binDir()
 	if err != nil {
@@ -74,7 +74,7 @@
 	return run.Do(ctx)
 }
 
-// ratios gives a line for each measure: its name, both values and B/A.
+// ratios returns a table row for each metric: its name, both values and B/A.
 func ratios(a, b *measure.Result) (lines []string) {
 	addLine := func(name string, x, y float64) {
 		lines = append(lines, fmt.Sprintf("%s\t%.3f\t%.3f\t%.3f", name, x, y, y/x))
@@ -94,7 +94,7 @@
 	opts := &runOptions{}
 	command := &cobra.Command{
 		Use:   "experiments FILE...",
-		Short: "Run experiments, each also with one router and one queue, and print a table",
+		Short: "Run each experiment, then again with a single router and queue, and print a table",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return opts.experiments(command, args)
@@ -104,8 +104,8 @@
 	return command
 }
 
-// experiments prints a line for each file. It fails if a count that must be
-// zero is not; a goal that is missed only shows in the table.
+// experiments prints a row for each file. It returns errCheckFailed if a count
+// that must be zero is not. Other metrics do not make it fail.
 func (o *runOptions) experiments(command *cobra.Command, files []string) error {
 	dir, cleanup, err := o.outputDir()
 	if err != nil {
--- a/cmd/quaybench/cmds/matrix.go
+++ b/cmd/quaybench/cmds/matrix.go
@@ -11,7 +11,7 @@
 	var names []string
 	command := &cobra.Command{
 		Use:   "matrix",
-		Short: "Cross every fault with the moments of a request's life",
+		Short: "Inject every fault before and during requests, and check the outcome",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) error {
 			bin, err := binDir()
@@ -35,7 +35,7 @@
 			return err
 		},
 	}
-	command.Flags().StringVar(&opts.out, "out", "", "the folder for logs; a temporary one if empty")
-	command.Flags().StringArrayVar(&names, "fault", nil, "only the fault of this name; may be repeated")
+	command.Flags().StringVar(&opts.out, "out", "", "the folder for logs; a temporary folder if empty")
+	command.Flags().StringArrayVar(&names, "fault", nil, "run only the fault of this name; may be repeated")
 	return command
 }
--- a/cmd/quaybench/cmds/run.go
+++ b/cmd/quaybench/cmds/run.go
@@ -15,7 +15,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// runOptions are the flags of commands that run experiments.
+// runOptions holds the flags of the commands that start fleets.
 type runOptions struct {
 	seed uint64
 	out  string
@@ -23,10 +23,11 @@
 
 func (o *runOptions) addFlags(command *cobra.Command) {
 	command.Flags().Uint64Var(&o.seed, "seed", 1, "the seed of the trace")
-	command.Flags().StringVar(&o.out, "out", "", "the folder for results; a temporary one if empty")
+	command.Flags().StringVar(&o.out, "out", "", "the folder for results; a temporary folder if empty")
 }
 
-// folder returns the folder for results. A temporary one is removed by clean.
+// outputDir returns the folder for results. If it is temporary, cleanup removes
+// it; otherwise cleanup does nothing.
 func (o *runOptions) outputDir() (dir string, cleanup func(), err error) {
 	if o.out != "" {
 		dir, err := filepath.Abs(o.out)
@@ -54,7 +55,7 @@
 	return command
 }
 
-// runOne runs an experiment and prints its measures.
+// runOne runs an experiment and prints its metrics.
 func runOne(command *cobra.Command, opts *runOptions, e experiment.Experiment) (err error) {
 	bin, err := binDir()
 	if err != nil {
@@ -89,7 +90,7 @@
 	opts := &runOptions{}
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Start a small fleet, load it, and print the measures",
+		Short: "Start a small fleet, send load, and print the metrics",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) error {
 			err := runOne(command, opts, demoExperiment())
@@ -106,8 +107,9 @@
 	return command
 }
 
-// demo is a fleet of today's size under uneven load: three customers backlogged,
-// one of them large, quick replies beside them, and bookings.
+// demoExperiment returns an experiment with the default fleet, which has the size
+// of today's fleet, and uneven load: three backlogged customers, one of them with
+// a double share, beside a customer of the quick class and one that sends bookings.
 func demoExperiment() experiment.Experiment {
 	e := experiment.Default()
 	e.Title = "demo"
--- a/cmd/quaybench/cmds/soak.go
+++ b/cmd/quaybench/cmds/soak.go
@@ -11,18 +11,18 @@
 	"github.com/quaylead/quaylead/cmd/quaybench/soak"
 )
 
-// errBroken reports that a promise was broken.
-var errGuaranteeViolated = errors.New("a promise was broken")
+// errGuaranteeViolated is returned if a soak run found a violation.
+var errGuaranteeViolated = errors.New("a guarantee was violated")
 
 func soakCommand() *cobra.Command {
 	opts := &runOptions{}
 	run := &soak.Soak{}
 	command := &cobra.Command{
 		Use:   "soak",
-		Short: "Break a fleet of real processes by the draw of a seed, and check its promises",
-		Long: "Starts routers as processes among stand-ins of the platform, breaks links and\n" +
-			"processes from outside, and checks what callers and endpoints see. The last line\n" +
-			"is the verdict. Logs of a run that failed are kept.",
+		Short: "Inject random faults into a fleet of real processes and check its guarantees",
+		Long: "Starts routers as processes beside stand-ins of the platform, injects faults into\n" +
+			"links and processes, as drawn from the seed, and checks what callers and endpoints\n" +
+			"observe. The last line is the verdict. The logs of a failed run are kept.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) (err error) {
 			if run.Bin, err = binDir(); err != nil {
@@ -44,7 +44,7 @@
 		},
 	}
 	opts.addFlags(command)
-	command.Flags().DurationVar(&run.Length, "length", 30*time.Second, "the time in which faults begin")
+	command.Flags().DurationVar(&run.Length, "length", 30*time.Second, "the time during which faults are started")
 	command.Flags().IntVar(&run.Boxes, "boxes", 5, "the number of routers")
 	command.Flags().IntVar(&run.Callers, "callers", 24, "the number of callers")
 	return command
--- a/cmd/quaybench/cmds/up.go
+++ b/cmd/quaybench/cmds/up.go
@@ -18,7 +18,7 @@
 	opts := &runOptions{}
 	command := &cobra.Command{
 		Use:   "up",
-		Short: "Start a small fleet and keep it until it is interrupted",
+		Short: "Start a small fleet and run it until interrupted",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) error {
 			return opts.up(command)
@@ -28,7 +28,8 @@
 	return command
 }
 
-// up starts the demo's fleet for a newcomer to try by hand.
+// up starts the fleet of the demo, prints commands to try, and waits for an
+// interrupt.
 func (o *runOptions) up(command *cobra.Command) error {
 	bin, err := binDir()
 	if err != nil {
--- a/cmd/quaybench/experiment/experiment.go
+++ b/cmd/quaybench/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs a fleet under load and faults on a timetable, and
-// computes the measures.
+// Package experiment runs a fleet under load and scheduled faults, and computes
+// the metrics.
 package experiment
 
 import (
@@ -23,21 +23,23 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Experiment is a file of _fixtures/experiments.
+// Experiment describes a run. The files in _fixtures/experiments hold
+// experiments as TOML.
 type Experiment struct {
-	// Title says in a line what is tried.
+	// Title describes the experiment in one line.
 	Title string
-	// Length is the time of arrivals; what is in flight then is awaited.
+	// Length is the time during which requests arrive. Requests that are in
+	// flight at its end are waited for.
 	Length settings.Duration
-	// Timeout bounds each request at its caller.
+	// Timeout is the caller's timeout of each request.
 	Timeout settings.Duration
 	Fleet   fleet.Plan
 	Sources []load.Source
 	Faults  []Step
-	// Operators change the settings meanwhile.
+	// Operators change the settings during the run.
 	Operators Operators
-	// JudgeFrom and JudgeUntil bound the time that the measures look at;
-	// JudgeUntil 0 means to the end.
+	// JudgeFrom and JudgeUntil bound the time that the metrics cover, counted
+	// from the start of the run. JudgeUntil 0 means the end of the run.
 	JudgeFrom  settings.Duration
 	JudgeUntil settings.Duration
 }
@@ -46,14 +48,15 @@
 type Run struct {
 	Experiment Experiment
 	Seed       uint64
-	// Bin holds the programs, Dir takes settings, logs and results.
+	// Bin is the folder of the programs. Settings, logs and results are
+	// written to Dir.
 	Bin string
 	Dir string
-	// Progress takes a line while the experiment runs.
+	// Progress receives progress lines; nil means none.
 	Progress io.Writer
 }
 
-// Default returns what an experiment's file overrides.
+// Default returns the values of an experiment that its file can override.
 func Default() Experiment {
 	return Experiment{
 		Length:  settings.Duration{Duration: 20 * time.Second},
@@ -84,7 +87,7 @@
 	return e, decoder.Decode(&e)
 }
 
-// Shares are the weights of the experiment's customers.
+// Shares returns the share of each customer, which is 1 if its source states none.
 func (e *Experiment) Shares() map[string]float64 {
 	shares := map[string]float64{}
 	for _, source := range e.Sources {
@@ -97,8 +100,8 @@
 	return shares
 }
 
-// customers gives the customers that the sources name, unless the plan has
-// settings of its own for them.
+// customers returns the settings of all customers that the sources name. They
+// are those of the plan, if it has any, with the share of the source.
 func (e *Experiment) customers() map[string]settings.Customer {
 	customers := map[string]settings.Customer{}
 	for name, share := range e.Shares() {
@@ -109,7 +112,8 @@
 	return customers
 }
 
-// Do starts the fleet, sends the load, applies the faults and measures.
+// Do starts the fleet, runs the load and the faults, and writes the metrics and a
+// plot to Dir.
 func (r *Run) Do(ctx context.Context) (result measure.Result, err error) {
 	defer func() { err = trace.Wrap(err, "running experiment %q", r.Experiment.Title) }()
 	plan := r.Experiment.Fleet
@@ -162,8 +166,8 @@
 	return result, r.writeResult(result)
 }
 
-// drive sends the trace while the faults follow their timetable and operators
-// change the settings.
+// runLoad sends the trace, and meanwhile runs the scheduled faults and the
+// operators.
 func (r *Run) runLoad(ctx context.Context, f *fleet.Fleet, operators *operatorRace) (records []load.Record, err error) {
 	runner := f.Caller(r.Experiment.Timeout.Duration)
 	runner.Progress = r.printProgress
@@ -222,7 +226,7 @@
 	return os.WriteFile(filepath.Join(r.Dir, "result.json"), append(text, '\n'), 0o644)
 }
 
-// controlMeter measures the bytes that boxes exchange for control.
+// controlMeter measures the control traffic of the boxes.
 type controlMeter struct {
 	fleet      *fleet.Fleet
 	startTime  time.Time
@@ -244,7 +248,8 @@
 	return float64(now-m.startBytes) / boxes / time.Since(m.startTime).Seconds(), nil
 }
 
-// read sums what the boxes exchanged with each other, and with the platform.
+// readTotal returns the bytes that the boxes exchanged with each other and with
+// the platform. A box that does not respond counts as 0.
 func (m *controlMeter) readTotal() (total int64, err error) {
 	for _, router := range m.fleet.Routers {
 		status, err := router.Status()
@@ -257,8 +262,9 @@
 	return total + counts.Bytes, err
 }
 
-// OneQueue is the same trace through one router with one queue, without the
-// faults that concern several routers.
+// OneQueue returns the experiment with a single router, and so with a single
+// queue, for the same trace. The steps that name routers and the rejoin steps are
+// left out.
 func (e Experiment) OneQueue() Experiment {
 	e.Title += " (one queue)"
 	e.Fleet.Routers = 1
--- a/cmd/quaybench/experiment/experiment_test.go
+++ b/cmd/quaybench/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// bin is where `make build` puts the programs.
+// bin returns the folder into which `make test` builds the programs.
 func bin(t *testing.T) string {
 	t.Helper()
 	path, err := filepath.Abs("../../../bin/test")
@@ -22,7 +22,8 @@
 	return path
 }
 
-// TestWholePath serves model requests and bookings through real processes.
+// TestWholePath sends model requests and bookings through real processes, without
+// faults, and expects a complete response to each.
 func TestWholePath(t *testing.T) {
 	Convey("Given a small fleet and a light load", t, func() {
 		e := experiment.Default()
--- a/cmd/quaybench/experiment/operators.go
+++ b/cmd/quaybench/experiment/operators.go
@@ -22,29 +22,31 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Operators race each other to change the settings while an experiment runs.
+// Operators are simulated operators that concurrently change the settings while
+// an experiment runs.
 type Operators struct {
 	// Count is the number of operators; 0 means none.
 	Count int
-	// Pause is the mean time between two changes of one operator.
+	// Pause is the mean time between two changes by one operator.
 	Pause settings.Duration
 }
 
-// acceptance is a change that an operator was told is accepted.
+// acceptance is a change that was reported to an operator as accepted.
 type acceptance struct {
 	revision uint64
 	nonce    string
 	at       time.Time
 }
 
-// sighting is the revision that a router had in force at a time.
+// observation is the revision that a router reported as in force at a time.
 type observation struct {
 	at          time.Time
 	incarnation uint64
 	revision    uint64
 }
 
-// race is one run of the operators.
+// operatorRace runs operators that compete to change the settings, and records
+// what they and the routers report.
 type operatorRace struct {
 	fleet *fleet.Fleet
 	plan  Operators
@@ -55,15 +57,15 @@
 	accepted  []acceptance
 	conflicts int
 	unknown   int
-	// sightings are by router, in order of time.
+	// observations are by router name, in order of time.
 	observations map[string][]observation
 }
 
-// watchInterval is the time between two looks at a router's revision, and so
-// the grain of the times until settings are in force.
+// revisionPollInterval is the time between two reads of a router's revision, and
+// so the resolution of the delays until settings are in force.
 const revisionPollInterval = 20 * time.Millisecond
 
-// proposalTimeout bounds an operator's tries at a failing store.
+// proposalTimeout bounds the attempts of one change while the store fails.
 const proposalTimeout = 5 * time.Second
 
 func newOperatorRace(f *fleet.Fleet, plan Operators) (r *operatorRace, err error) {
@@ -83,8 +85,8 @@
 	}, nil
 }
 
-// run lets operators change settings until the context ends, and watches all
-// routers a little longer.
+// run lets the operators change settings until ctx ends. It polls the revisions
+// of all routers, for 2 s longer.
 func (r *operatorRace) run(ctx context.Context, seed uint64) error {
 	watchCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	watchers := errgroup.Group{}
@@ -103,13 +105,14 @@
 		})
 	}
 	err := operators.Wait()
-	// The last changes get their time to be in force.
+	// The last changes need time to come into force.
 	time.Sleep(2 * time.Second)
 	stop()
 	return trace.NewAggregate(err, watchers.Wait())
 }
 
-// operate changes one value after the other, as quayctl does.
+// runOperator repeatedly proposes changed settings, as quayctl does, until ctx
+// ends.
 func (r *operatorRace) runOperator(ctx context.Context, name string, random *rand.Rand) {
 	repository := revision.Repository{Store: r.store}
 	for interval.Wait(ctx, interval.Jittered(r.plan.Pause.Duration)) == nil {
@@ -128,13 +131,13 @@
 		r.recordProposal(accepted, proposal.Nonce, err)
 		if err == nil {
 			router := r.fleet.Routers[random.IntN(len(r.fleet.Routers))]
-			// A router that does not answer finds the settings by itself.
+			// On error the router finds the new settings by its own polling.
 			_, _, _ = fasthttp.GetTimeout(nil, "http://"+router.OperatorAddress+"/look", time.Second)
 		}
 	}
 }
 
-// change gives settings with one value changed.
+// randomChange returns the settings with a random queue length for each customer.
 func (r *operatorRace) randomChange(random *rand.Rand) *settings.Fleet {
 	changed := *r.tree
 	changed.Customers = map[string]settings.Customer{}
@@ -159,7 +162,7 @@
 	}
 }
 
-// watch records a router's revision again and again.
+// pollRevision records the router's revision at intervals, until ctx ends.
 func (r *operatorRace) pollRevision(ctx context.Context, router *fleet.Router) {
 	for interval.Wait(ctx, revisionPollInterval) == nil {
 		status, err := router.Status()
@@ -176,10 +179,10 @@
 	}
 }
 
-// judge holds what operators were told against the store's history, and the
-// routers' revisions against both.
+// evaluate compares the accepted changes with the history in the store, and
+// computes reverts and delays from the observed revisions.
 func (r *operatorRace) evaluate() (result measure.Settings, err error) {
-	defer func() { err = trace.Wrap(err, "judging the operators' race") }()
+	defer func() { err = trace.Wrap(err, "evaluating the changes by operators") }()
 	repository := revision.Repository{Store: r.store}
 	result = measure.Settings{
 		Acceptances: len(r.accepted),
@@ -212,8 +215,8 @@
 	return result, nil
 }
 
-// reverts counts the times at which a router went back to a lower revision
-// without having started anew.
+// countReverts counts how often a router went back to a lower revision without
+// a restart.
 func countReverts(observed []observation) (count int) {
 	for i := 1; i < len(observed); i++ {
 		if observed[i].incarnation == observed[i-1].incarnation && observed[i].revision < observed[i-1].revision {
@@ -223,27 +226,29 @@
 	return count
 }
 
-// reachGap is the time without a sighting from which a router counts as not
-// reachable, as when it is killed or paused.
+// unreachableTimeout is the time without an observation after which a router
+// counts as unreachable, for example because it is killed or paused.
 const unreachableTimeout = 500 * time.Millisecond
 
-// inForceAfter is the time from an acceptance, or from when the router was
-// reachable again, to the revision or a later one being in force there. A
-// router that never had it while it was watched gives the whole time.
+// inForceDelay returns the time until the accepted revision, or a later one, was
+// in force at a router. It counts from the acceptance, or from the time at which
+// the router became reachable again. If the revision never came into force, the
+// delay lasts until the last observation. Without an observation after the
+// acceptance it returns nil.
 func inForceDelay(observed []observation, accepted acceptance) []time.Duration {
 	from := accepted.at
-	first := slices.IndexFunc(observed, func(s observation) bool { return s.at.After(accepted.at) })
+	first := slices.IndexFunc(observed, func(o observation) bool { return o.at.After(accepted.at) })
 	if first < 0 {
 		return nil
 	}
 	last := accepted.at
-	for _, s := range observed[first:] {
-		if s.at.Sub(last) > unreachableTimeout {
-			from = s.at
+	for _, o := range observed[first:] {
+		if o.at.Sub(last) > unreachableTimeout {
+			from = o.at
 		}
-		last = s.at
-		if s.revision >= accepted.revision {
-			return []time.Duration{max(0, s.at.Sub(from))}
+		last = o.at
+		if o.revision >= accepted.revision {
+			return []time.Duration{max(0, o.at.Sub(from))}
 		}
 	}
 	return []time.Duration{last.Sub(from)}
--- a/cmd/quaybench/experiment/overhead.go
+++ b/cmd/quaybench/experiment/overhead.go
@@ -13,11 +13,13 @@
 	"github.com/quaylead/quaylead/cmd/quaybench/measure"
 )
 
-// overheadCalls is the number of pairs of calls that overhead is taken from.
+// overheadSamples is the number of pairs of requests that the overhead is computed
+// from.
 const overheadSamples = 200
 
-// overhead compares calls through a router with direct ones, in turn, before
-// the load begins. Both times are in milliseconds.
+// measureOverhead returns the latency that a router adds to a request to a plain
+// service, in milliseconds. It sends requests alternately through a router and
+// directly, and has to be called before the load starts.
 func measureOverhead(ctx context.Context, f *fleet.Fleet, customer string) (p50, p99 float64, err error) {
 	defer func() { err = trace.Wrap(err, "measuring overhead") }()
 	if len(f.Services) == 0 {
--- a/cmd/quaybench/experiment/step.go
+++ b/cmd/quaybench/experiment/step.go
@@ -12,45 +12,46 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Action is what a step of the timetable does.
+// Action is what a step of the schedule does.
 type Action string
 
 // The actions.
 const (
-	// Partition cuts the named routers off from all others.
+	// Partition drops all data between the routers of the step and all others.
 	Partition Action = "partition"
-	// Rejoin heals all links between routers.
+	// Rejoin removes the faults from all links between routers.
 	Rejoin Action = "rejoin"
-	// Kill ends routers at once, Start starts them again, empty.
+	// Kill kills routers (SIGKILL), Start starts them again without any state.
 	Kill  Action = "kill"
 	Start Action = "start"
-	// Terminate asks routers for a planned stop.
+	// Terminate requests a planned stop of routers (SIGTERM).
 	Terminate Action = "terminate"
-	// Pause stops routers in their tracks, Continue lets them go on.
+	// Pause suspends routers (SIGSTOP), Continue resumes them (SIGCONT).
 	Pause    Action = "pause"
 	Continue Action = "continue"
-	// Leave makes engines take no new work.
+	// Leave makes engines leave: they accept no new requests.
 	Leave Action = "leave"
-	// Slow makes engines slower by Factor.
+	// Slow makes engines slower by the factor Factor.
 	Slow Action = "slow"
-	// StoreOutage and StoreBack switch the platform off and on; StoreLoses
-	// makes it lose the part Factor of its answers to writes.
+	// StoreOutage makes the platform refuse all calls. StoreLoses makes it drop
+	// the fraction Factor of its responses to writes, after the write took
+	// effect. StoreBack ends all faults of the platform.
 	StoreOutage Action = "store-outage"
 	StoreBack   Action = "store-back"
 	StoreLoses  Action = "store-loses"
 )
 
-// Step is one entry of the timetable.
+// Step is one entry of the schedule.
 type Step struct {
 	At     settings.Duration
 	Action Action
-	// Routers and Engines are counted from 0.
+	// Routers and Engines are indexes, counted from 0.
 	Routers []int
 	Engines []int
 	Factor  float64
 }
 
-// follow carries out the timetable.
+// runSchedule applies each step at its time.
 func runSchedule(ctx context.Context, f *fleet.Fleet, steps []Step) error {
 	start := time.Now()
 	for _, step := range steps {
--- a/cmd/quaybench/main.go
+++ b/cmd/quaybench/main.go
@@ -1,5 +1,5 @@
-// Quaybench starts small fleets on one machine, loads them, breaks them and
-// measures them.
+// Quaybench starts small fleets on one machine, sends load, injects faults and
+// measures the results.
 package main
 
 import (
--- a/cmd/quaybench/matrix/faults.go
+++ b/cmd/quaybench/matrix/faults.go
@@ -8,7 +8,7 @@
 	"github.com/quaylead/quaylead/cmd/quaystand/platform"
 )
 
-// All are the faults of the whole matrix.
+// AllFaults returns the faults of the whole matrix.
 func AllFaults() []Fault {
 	faults := []Fault{
 		{Name: "endpoint refuses", Inject: onEndpointLinks(refuse), Heal: healEndpointLinks},
@@ -23,7 +23,7 @@
 	return append(faults, platformFaults()...)
 }
 
-// Named are the faults with these names; no names mean all.
+// FaultsNamed returns the faults with these names, or all if there are no names.
 func FaultsNamed(names []string) []Fault {
 	if len(names) == 0 {
 		return AllFaults()
@@ -31,7 +31,7 @@
 	return slices.DeleteFunc(AllFaults(), func(f Fault) bool { return !slices.Contains(names, f.Name) })
 }
 
-// toxics are what the network does between routers and endpoints.
+// networkFaults returns the faults of the network between routers and endpoints.
 func networkFaults() (faults []Fault) {
 	for _, entry := range []struct {
 		name  string
@@ -49,7 +49,7 @@
 	return faults
 }
 
-// platformFaults are what the stores and the box list do.
+// platformFaults returns the faults of the store and of the box list.
 func platformFaults() (faults []Fault) {
 	for _, entry := range []struct {
 		name   string
@@ -75,7 +75,8 @@
 	return func(f *fleet.Fleet, link string) error { return f.Proxies.Inject(link, toxic) }
 }
 
-// eachEndpointLink does something to the link of every endpoint.
+// onEndpointLinks returns a function that applies action to the link of every
+// endpoint.
 func onEndpointLinks(action func(f *fleet.Fleet, link string) error) func(*fleet.Fleet) error {
 	return func(f *fleet.Fleet) error {
 		for _, endpoint := range slices.Concat(f.Engines, f.Services) {
@@ -106,10 +107,10 @@
 	return func(f *fleet.Fleet) error { return action(f.Routers[0].Process) }
 }
 
-// restartFirst starts the first router again, empty.
+// restartFirstRouter starts the first router again, without any state.
 func restartFirstRouter(f *fleet.Fleet) error {
 	return f.Routers[0].Start()
 }
 
-// cutPeers cuts the first router off from the others.
+// partitionFirstRouter cuts the links between the first router and the others.
 func partitionFirstRouter(f *fleet.Fleet) error { return f.Partition([]int{0}) }
--- a/cmd/quaybench/matrix/matrix.go
+++ b/cmd/quaybench/matrix/matrix.go
@@ -1,5 +1,6 @@
-// Package matrix crosses faults with moments of a request's life, on real
-// processes, and judges each cell by callers' records and ground truth.
+// Package matrix injects every fault before and during requests, into a fleet of
+// real processes. It checks each combination against the records of callers and
+// the ground truth.
 package matrix
 
 import (
@@ -19,28 +20,29 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Moment is when the fault strikes.
+// Moment is the time at which the fault is injected.
 type Moment string
 
 // The moments.
 const (
-	// Before: the fault is there when the requests are sent.
+	// Before injects the fault before the requests are sent.
 	Before Moment = "before"
-	// During: the requests are being answered when the fault strikes.
+	// During injects the fault while the requests are being answered.
 	During Moment = "during"
 )
 
 // Fault is a row of the matrix.
 type Fault struct {
 	Name string
-	// Strike begins the fault, and Heal ends it.
+	// Inject starts the fault, and Heal ends it.
 	Inject func(f *fleet.Fleet) error
 	Heal   func(f *fleet.Fleet) error
-	// CallersLeave makes the callers go away in place of a fault of the fleet.
+	// CancelCallers cancels the requests at the callers, instead of a fault of
+	// the fleet. Inject and Heal are not used then.
 	CancelCallers bool
 }
 
-// Cell is the verdict on one fault at one moment.
+// Cell is the outcome of one fault at one moment.
 type Cell struct {
 	Fault    string
 	Moment   Moment
@@ -48,38 +50,42 @@
 	Whole    int
 	Refused  int
 	Cut      int
-	// Failures says what went wrong; empty is a pass.
+	// Failures lists the checks that failed; empty means that the cell passed.
 	Failures []string
 }
 
-// Matrix runs cells against one fleet.
+// Matrix runs all cells against one fleet.
 type Matrix struct {
-	// Bin holds the programs, Dir takes settings, logs and ground truth.
+	// Bin is the folder of the programs. Settings, logs and ground truth are
+	// written to Dir.
 	Bin string
 	Dir string
 	// Faults are the rows.
 	Faults []Fault
-	// Progress takes a line for each cell.
+	// Progress receives a line for each cell; nil means none.
 	Progress io.Writer
 
 	fleet *fleet.Fleet
-	// sent numbers requests and keys, which never repeat.
+	// sequence is the number in the last request ID or idempotency key. These
+	// are unique within a run of the matrix.
 	sequence int
 }
 
 const (
-	// deadline is stated to the routers with each request.
+	// requestTimeout is the timeout that each request states to the router.
 	requestTimeout = 3 * time.Second
-	// patience is how long a caller waits in all, generous for a busy machine.
+	// callerTimeout bounds each request at the caller. It is long, so that a
+	// busy machine does not fail the check.
 	callerTimeout = 20 * time.Second
-	// strikeAfter is the time from sending to a fault during the answer. It
-	// lies within the answer's length.
+	// injectDelay is the time from sending the requests to a fault at During. It
+	// is shorter than the responses take: ServiceLatency in Plan is 300 ms.
 	injectDelay = 150 * time.Millisecond
-	// healAfter is how long a fault lasts: past the deadline of the requests.
+	// healDelay is the time from sending the requests to the end of the fault.
+	// Their deadlines pass before it.
 	healDelay = requestTimeout + 500*time.Millisecond
 )
 
-// Plan is the fleet of the matrix.
+// Plan returns the fleet of the matrix.
 func Plan() fleet.Plan {
 	return fleet.Plan{
 		Routers:        3,
@@ -95,7 +101,7 @@
 	}
 }
 
-// Run runs every cell and returns the verdicts.
+// Run starts the fleet, runs every cell and returns the outcomes.
 func (m *Matrix) Run(ctx context.Context) (cells []Cell, err error) {
 	defer func() { err = trace.Wrap(err, "running the fault matrix") }()
 	m.fleet = &fleet.Fleet{Plan: Plan(), Bin: m.Bin, Dir: m.Dir}
@@ -161,8 +167,9 @@
 	return cell, m.evaluate(ctx, &cell, records, fault)
 }
 
-// send makes calls of every kind through every router: streams, and keyed
-// bookings of which each key goes through two routers at once.
+// sendRequests starts requests of every kind through every router: streams, and
+// keyed bookings, with each key sent through two routers at once. The records are
+// complete once the group has ended.
 func (m *Matrix) sendRequests(ctx context.Context) (*errgroup.Group, []load.Record) {
 	caller := m.fleet.Caller(callerTimeout)
 	model := &load.Source{Customer: "ward"}
@@ -193,8 +200,8 @@
 	return group, records
 }
 
-// judge holds the cell's records against the ground truth, and waits for all
-// work to have ended.
+// evaluate waits until the routers are idle, and checks the records against the
+// ground truth.
 func (m *Matrix) evaluate(ctx context.Context, cell *Cell, records []load.Record, fault Fault) error {
 	if err := m.awaitIdle(ctx); err != nil {
 		cell.Failures = append(cell.Failures, "work left over: "+err.Error())
@@ -225,7 +232,7 @@
 	return nil
 }
 
-// late counts requests that only the caller's own patience ended.
+// countTimeouts counts the requests that were ended only by the caller's timeout.
 func countTimeouts(records []load.Record, fault Fault) (count int) {
 	for _, record := range records {
 		if !fault.CancelCallers && record.End.Sub(record.Sent) >= callerTimeout {
@@ -235,8 +242,8 @@
 	return count
 }
 
-// awaitServing waits until every router gets whole answers of both kinds, so
-// that a cell meets its own fault and not what the one before it left.
+// awaitServing waits until requests of both kinds get complete responses through
+// every router, so that a cell is not affected by the fault of the previous one.
 func (m *Matrix) awaitServing(ctx context.Context) error {
 	caller := m.fleet.Caller(callerTimeout)
 	sources := []*load.Source{{Customer: "ward"}, {Customer: "ward", Plain: true}}
@@ -262,7 +269,7 @@
 	return trace.Wrap(err, "waiting for the fleet to serve")
 }
 
-// awaitIdle waits until no router has anything in flight.
+// awaitIdle waits until no router has a request in flight.
 func (m *Matrix) awaitIdle(ctx context.Context) error {
 	return fleet.Poll(ctx, func() (bool, error) {
 		for _, router := range m.fleet.Routers {
@@ -275,7 +282,7 @@
 	})
 }
 
-// Print writes the verdicts as a table and tells whether all cells passed.
+// Print writes the outcomes as a table and reports whether all cells passed.
 func Print(out io.Writer, cells []Cell) (passed bool, err error) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "Fault\tMoment\tRequests\tWhole\tRefused\tCut\tVerdict")
--- a/cmd/quaybench/matrix/matrix_test.go
+++ b/cmd/quaybench/matrix/matrix_test.go
@@ -9,7 +9,8 @@
 	"github.com/quaylead/quaylead/cmd/quaybench/matrix"
 )
 
-// TestReducedMatrix runs the rows that tell most; `quaybench matrix` runs all.
+// TestReducedMatrix runs the faults that are most likely to reveal an error.
+// `quaybench matrix` runs all.
 func TestReducedMatrix(t *testing.T) {
 	Convey("Every cell of the reduced matrix passes", t, func() {
 		bin, err := filepath.Abs("../../../bin/test")
