--- a/pkg/revision/repository.go
+++ b/pkg/revision/repository.go
@@ -1,5 +1,5 @@
-// Package revision accepts settings once and keeps their history, in the
-// platform's stores. A snapshot is an immutable object; one conditional write
+// Package revision accepts settings, each revision once, and stores their history in
+// the platform's stores. A snapshot is an immutable object; one conditional write
 // moves the head row from one revision to the next.
 package revision
 
@@ -24,25 +24,25 @@
 	HistoryTable = "settings-history"
 )
 
-// Head is the accepted settings, and an entry of the history.
+// Head describes the accepted settings, or an earlier revision in the history.
 type Head struct {
-	// Revision counts acceptances from 1; 0 means that there were none.
+	// Revision counts acceptances from 1; 0 means that nothing was accepted yet.
 	Revision uint64
 	// Hash is the SHA-256 of the snapshot, in hex, and names its object.
 	Hash    string
 	Author  string
 	Message string
 	At      time.Time
-	// Nonce tells this acceptance from any other, so that one whose answer was
-	// lost can be recognised.
+	// Nonce identifies this acceptance, so that it can be recognised when the
+	// store's answer was lost.
 	Nonce string
 }
 
 // ConflictError reports that another acceptance came first.
 type ConflictError struct {
-	// Expected is the revision that was to be followed.
+	// Expected is the revision that the proposal was based on.
 	Expected uint64
-	// Found is the head that stands instead.
+	// Found is the head that was accepted instead.
 	Found Head
 }
 
@@ -52,7 +52,7 @@
 		e.Expected, e.Found.Revision, e.Found.Author)
 }
 
-// UnknownOutcomeError reports that the store did not say whether it accepted.
+// UnknownOutcomeError reports that the store did not confirm whether it accepted.
 type UnknownOutcomeError struct {
 	Revision uint64
 	Err      error
@@ -68,7 +68,7 @@
 	return e.Err
 }
 
-// Store is what a repository needs of the platform.
+// Store is the part of the platform's stores that a Repository uses.
 type Store interface {
 	Get(table, key string) (platform.Row, error)
 	Transact(writes []platform.Write) error
@@ -76,12 +76,12 @@
 	GetObject(key string) ([]byte, error)
 }
 
-// Repository is the accepted settings in the platform's stores.
+// Repository accesses the accepted settings in the platform's stores.
 type Repository struct {
 	Store Store
 }
 
-// Head reads the accepted settings' head and the version of its row. Before
+// Head returns the head of the accepted settings and the version of its row. Before
 // the first acceptance both are empty.
 func (r Repository) Head() (head Head, version string, err error) {
 	defer func() { err = trace.Wrap(err, "reading the head of settings") }()
@@ -96,7 +96,7 @@
 	return head, row.Version, err
 }
 
-// Entry reads the history's entry of a revision.
+// Entry returns a revision's entry in the history.
 func (r Repository) Entry(number uint64) (head Head, err error) {
 	defer func() { err = trace.Wrap(err, "reading settings revision %d", number) }()
 	row, err := r.Store.Get(HistoryTable, historyKey(number))
@@ -107,7 +107,7 @@
 	return head, err
 }
 
-// Snapshot reads a head's snapshot and checks it against its hash.
+// Snapshot returns a head's snapshot, verified against its hash.
 func (r Repository) Snapshot(head Head) (snapshot []byte, err error) {
 	defer func() { err = trace.Wrap(err, "reading the snapshot of revision %d", head.Revision) }()
 	snapshot, err = r.Store.GetObject(objectKey(head.Hash))
@@ -120,24 +120,26 @@
 	return snapshot, nil
 }
 
-// Proposal is settings to be accepted after a known revision.
+// Proposal is settings to be accepted on top of a known revision.
 type Proposal struct {
 	Fleet *settings.Fleet
-	// Expect is the revision that the proposal follows.
+	// Expect is the revision that the proposal is based on.
 	Expect  uint64
 	Author  string
 	Message string
 	// Nonce is a value that no other proposal has.
 	Nonce string
-	// Until bounds the tries to learn the outcome when the store is failing.
+	// Deadline bounds the attempts to determine the outcome when the store is
+	// failing.
 	Deadline time.Time
 }
 
-// retryPause lies between two tries at a failing store.
+// retryDelay is the time between two attempts at a failing store.
 const retryDelay = 200 * time.Millisecond
 
 // Accept makes a proposal the head. The error is a *ConflictError when another
-// acceptance came first, an *UnknownOutcomeError when the store did not say.
+// acceptance came first, and an *UnknownOutcomeError when the store did not confirm
+// whether it accepted.
 func (r Repository) Accept(proposal Proposal) (head Head, err error) {
 	defer func() { err = trace.Wrap(err, "accepting settings") }()
 	snapshot, err := settings.EncodeSnapshot(proposal.Fleet)
@@ -165,8 +167,8 @@
 	return head, r.commitHead(head, version, proposal.Deadline)
 }
 
-// keep stores a snapshot. Its key is its hash, so writing it again is harmless,
-// and one whose answer was lost is found by reading.
+// storeSnapshot stores a snapshot. Its key is its hash, so storing it again is
+// harmless, and a write whose answer was lost is detected by reading.
 func (r Repository) storeSnapshot(hash string, snapshot []byte, deadline time.Time) error {
 	for {
 		err := r.Store.PutObject(objectKey(hash), snapshot)
@@ -184,7 +186,7 @@
 	}
 }
 
-// move writes the head and its history entry in one transaction. The same
+// commitHead writes the head and its history entry in one transaction. The same
 // writes may be sent again when an answer is lost: the condition on the head's
 // version lets them take effect once.
 func (r Repository) commitHead(head Head, version string, deadline time.Time) error {
@@ -212,7 +214,8 @@
 	}
 }
 
-// settle learns by reading which acceptance has the revision.
+// resolveOutcome determines by reading which acceptance has the revision. A nil error
+// means that it is this one.
 func (r Repository) resolveOutcome(head Head) (known bool, err error) {
 	entry, err := r.Entry(head.Revision)
 	if err != nil {
--- a/pkg/settings/box.go
+++ b/pkg/settings/box.go
@@ -1,16 +1,16 @@
-// Package settings holds what operators declare: the settings of one box, and
-// the tree that the whole fleet has in common. Both are TOML, decoded strictly.
+// Package settings defines what operators configure: the settings of one box and
+// the settings tree of the whole fleet. Both are TOML; unknown keys are errors.
 package settings
 
 import "time"
 
-// Box is the settings file of one quaylead process. Everything in it concerns
-// this box alone; what the fleet shares is in Fleet.
+// Box is the settings file of one quaylead process. It concerns this box alone;
+// the settings that all boxes share are in Fleet.
 type Box struct {
 	// Name identifies the box in the box list, in logs and towards peers. It
 	// is unique in the fleet.
 	Name string
-	// Zone is the availability zone the box stands in.
+	// Zone is the availability zone the box runs in.
 	Zone string
 	// Region is the region of Zone.
 	Region string
@@ -20,22 +20,22 @@
 	OperatorAddress string
 	// PeerAddress is the IP and port on which other boxes connect.
 	PeerAddress string
-	// Peers are the boxes known from the start, by name. Boxes of the
-	// platform's list are added while the process runs.
+	// Peers are the boxes to connect to from the start, by name. Boxes of the
+	// platform's box list are added while the process runs.
 	Peers map[string]Peer
-	// Tree is a file or directory with the fleet's settings to start from.
-	// Accepted settings of a higher revision replace it. Empty means that the
-	// box is not ready until it has settings from the platform or a peer.
+	// Tree is a file or directory with the fleet's initial settings. Accepted
+	// settings of a higher revision replace them. Empty means that the box is
+	// not ready until it has settings from the platform or a peer.
 	Tree string
-	// Platform says how the platform's stores and its box list are reached.
+	// Platform configures access to the platform's stores and box list.
 	Platform Platform
-	// TLS holds the key files; empty means plain TCP.
+	// TLS names the certificate and key files; empty means plain TCP.
 	TLS TLS
 	// Log selects what is logged.
 	Log Log
-	// Limits bound what callers may use of this box.
+	// Limits bounds what callers may use of this box.
 	Limits Limits
-	// Exchange is the timing of messages between boxes.
+	// Exchange configures the timing of messages between boxes.
 	Exchange Exchange
 }
 
@@ -47,31 +47,33 @@
 	Zone string
 }
 
-// Platform says how the platform's services are reached. Every path is a
+// Platform configures access to the platform's services. Every path is a
 // setting so that a platform with other paths needs no change in code.
 type Platform struct {
 	// Address is the IP and port of the table and object stores and of the box
 	// list. Empty means that there is no platform.
 	Address string
-	// TablePath precedes /TABLE/KEY of a row.
+	// TablePath is the URL path that precedes /TABLE/KEY of a row.
 	TablePath string
-	// TransactionPath takes several conditional writes in one transaction.
+	// TransactionPath is the URL path that takes several conditional writes in
+	// one transaction.
 	TransactionPath string
-	// ObjectPath precedes the key of an object.
+	// ObjectPath is the URL path that precedes the key of an object.
 	ObjectPath string
-	// BoxListPath gives the list of live and leaving boxes.
+	// BoxListPath is the URL path of the list of live and leaving boxes.
 	BoxListPath string
 	// Timeout bounds one call.
 	Timeout Duration
-	// HeadInterval is the mean time between two looks at the accepted settings.
+	// HeadInterval is the mean time between two polls of the accepted settings.
 	HeadInterval Duration
-	// BoxListInterval is the mean time between two looks at the box list.
+	// BoxListInterval is the mean time between two polls of the box list.
 	BoxListInterval Duration
 }
 
-// TLS holds the files of the box's keys. They are read again when they change.
+// TLS names the box's certificate and key files. They are read again when they
+// change.
 type TLS struct {
-	// CertificateFile and KeyFile serve callers; both or none are set.
+	// CertificateFile and KeyFile are used to serve callers; both or none are set.
 	CertificateFile string
 	KeyFile         string
 	// PeerCertificateFile, PeerKeyFile and PeerAuthorityFile authenticate boxes
@@ -83,9 +85,9 @@
 
 // Log selects what is logged.
 type Log struct {
-	// Level is the least level that is logged: debug, info, warn or error.
+	// Level is the minimum level that is logged: debug, info, warn or error.
 	Level string
-	// Categories are logged down to debug whatever Level says.
+	// Categories are logged at debug level and above, whatever Level is.
 	Categories []string
 }
 
@@ -95,11 +97,12 @@
 	HeaderBytes int
 	// BodyBytes bounds the body of a call.
 	BodyBytes int
-	// AnswerBytes bounds an answer that is held whole, such as a stored outcome.
+	// AnswerBytes bounds an answer that is buffered whole, such as a stored
+	// outcome.
 	AnswerBytes int
 	// Connections bounds the connections of callers.
 	Connections int
-	// ConnectionsPerIP bounds those of one address; 0 means no bound.
+	// ConnectionsPerIP bounds the connections of one IP address; 0 means no bound.
 	ConnectionsPerIP int
 	// ReadTimeout bounds reading one request.
 	ReadTimeout Duration
@@ -107,30 +110,32 @@
 	WriteTimeout Duration
 	// IdleTimeout bounds the wait for the next request of a connection.
 	IdleTimeout Duration
-	// RequestTimeout is the deadline of a request that names none, and the
-	// longest deadline that a caller may ask for.
+	// RequestTimeout is the deadline of a request that sets none, and the
+	// longest deadline that a caller may set.
 	RequestTimeout Duration
-	// DrainTimeout bounds a planned stop; what is then left is logged.
+	// DrainTimeout bounds a planned stop; the number of requests that are still
+	// in flight then is logged.
 	DrainTimeout Duration
-	// DrainWait is the time between readiness going off and the last new
-	// connection being taken, for the balancer to notice.
+	// DrainWait is the time between the readiness check starting to fail and the
+	// end of accepting connections, for the balancer to notice.
 	DrainWait Duration
 }
 
 // Exchange is the timing of messages between boxes.
 type Exchange struct {
-	// Interval is the mean time between two messages to a peer while there is
-	// news. New settings and a planned stop are told at once.
+	// Interval is the mean time between two messages to a peer while there are
+	// changes. New settings and a planned stop are sent at once.
 	Interval Duration
-	// Heartbeat is the longest time between two messages to a peer.
+	// Heartbeat is the maximum time between two messages to a peer.
 	Heartbeat Duration
-	// Lapse is the silence after which a peer no longer counts as alive.
+	// Lapse is the time without messages after which a peer no longer counts as
+	// alive.
 	Lapse Duration
 	// DialTimeout bounds connecting to a peer.
 	DialTimeout Duration
 }
 
-// DefaultBox returns the settings that a file overrides.
+// DefaultBox returns the defaults that a box's settings file overrides.
 func DefaultBox() Box {
 	return Box{
 		CallerAddress:   "127.0.0.1:8080",
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// checker collects problems under a path.
+// checker collects the problems that are found in settings.
 type checker struct {
 	problems []*Problem
 }
--- a/pkg/settings/difference.go
+++ b/pkg/settings/difference.go
@@ -11,12 +11,13 @@
 // Change is one key path whose value differs between two settings.
 type Change struct {
 	Path string
-	// Before and After are JSON; empty means that the path is not there.
+	// Before and After are the values as JSON; empty means that the path does
+	// not exist.
 	Before string
 	After  string
 }
 
-// Difference lists the paths in which two settings differ, in order.
+// Difference returns the changes between two settings, sorted by path.
 func Difference(before, after *Fleet) (changes []Change, err error) {
 	defer func() { err = trace.Wrap(err, "comparing settings") }()
 	beforeValues, err := Flatten(before)
@@ -41,8 +42,8 @@
 	return changes, nil
 }
 
-// Flatten gives every value of the settings by its key path. Nil settings have
-// no values.
+// Flatten returns every value of the settings as JSON, by its key path. Nil
+// settings have no values.
 func Flatten(fleet *Fleet) (values map[string]string, err error) {
 	values = map[string]string{}
 	if fleet == nil {
--- a/pkg/settings/duration.go
+++ b/pkg/settings/duration.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// Duration is a time.Duration that settings write as text with a unit, such as
-// "250ms" or "2m". A bare number is refused, since its unit would be a guess.
+// Duration is a time.Duration that is written in settings as text with a unit,
+// such as "250ms" or "2m". A bare number is rejected, since its unit would be a
+// guess.
 type Duration struct {
 	time.Duration
-	// fault says what is wrong with the text that was read. The decoder gives no
-	// position for an error of UnmarshalText, so it is reported by the check.
+	// problem says what is wrong with the decoded text. The decoder reports no
+	// position for an error of UnmarshalText, so the error is kept here and
+	// reported by the check.
 	problem string
 }
 
-// UnmarshalText reads a duration with its unit. Negative durations are refused
-// because no setting has a use for one. What is wrong is reported by the check
-// of the settings, with its place.
+// UnmarshalText decodes a duration with its unit. Negative durations are rejected
+// because no setting has a use for one. Errors are kept in d and reported by the
+// check of the settings, with their position.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	switch {
@@ -30,7 +32,7 @@
 	return nil
 }
 
-// durationFaults finds the durations that were read wrongly, by key path.
+// durationProblems returns the durations that failed to decode, by key path.
 func durationProblems(value reflect.Value, path string) (problems []*Problem) {
 	if duration, ok := value.Interface().(Duration); ok {
 		if duration.problem == "" {
@@ -65,7 +67,7 @@
 	return path + "." + key
 }
 
-// MarshalText writes the duration in the form that UnmarshalText reads.
+// MarshalText encodes the duration in the form that UnmarshalText decodes.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(d.String()), nil
 }
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -13,8 +13,8 @@
 )
 
 // LoadBox reads a box's settings from a file, applies overrides of the form
-// Key.Path=Value and checks the result. Nothing is started by it. The error is
-// an *InvalidError when the settings are at fault.
+// Key.Path=Value and checks the result. It starts nothing. The error is an
+// *InvalidError when the settings are invalid.
 func LoadBox(file string, overrides []string) (box Box, err error) {
 	defer func() { err = trace.Wrap(err, "loading box settings") }()
 	box = DefaultBox()
@@ -52,8 +52,9 @@
 	return &InvalidError{Problems: problems}
 }
 
-// applyOverride decodes KEY=VALUE as one more line of TOML. A value that is no
-// TOML is taken as text, so that addresses need no quotes on a command line.
+// applyOverride decodes KEY=VALUE as one more line of TOML. A value that is not
+// valid TOML is used as a string, so that addresses need no quotes on a command
+// line.
 func applyOverride(into any, override string) error {
 	key, value, found := strings.Cut(override, "=")
 	if !found || key == "" {
@@ -70,7 +71,7 @@
 	return decodeStrict("--set "+override, line, into)
 }
 
-// Print writes settings as TOML with every default, for `quaylead check --print`.
+// Print encodes settings as TOML with every default, for `quaylead check --print`.
 func Print(settings any) (text string, err error) {
 	defer func() { err = trace.Wrap(err, "printing settings") }()
 	var buffer bytes.Buffer
@@ -80,14 +81,15 @@
 	return buffer.String(), err
 }
 
-// EncodeSnapshot gives the immutable form in which accepted settings are kept.
+// EncodeSnapshot encodes accepted settings in the immutable form in which they
+// are stored.
 func EncodeSnapshot(fleet *Fleet) (text []byte, err error) {
 	defer func() { err = trace.Wrap(err, "encoding settings snapshot") }()
 	return json.Marshal(fleet)
 }
 
-// DecodeSnapshot reads a snapshot strictly and checks it; what does not pass is
-// never applied.
+// DecodeSnapshot decodes a snapshot strictly and checks it. Settings that fail
+// the check are never applied.
 func DecodeSnapshot(text []byte) (fleet *Fleet, err error) {
 	defer func() { err = trace.Wrap(err, "decoding settings snapshot") }()
 	fleet = &Fleet{}
--- a/pkg/settings/problem.go
+++ b/pkg/settings/problem.go
@@ -9,20 +9,20 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Problem is one thing wrong with a settings file, with where it stands and
-// what would be right.
+// Problem is one error in settings, with its position and what would be valid.
 type Problem struct {
-	// File is the file's path as given; empty for an override.
+	// File is the file's path as given, or the override; empty if neither is
+	// known.
 	File string
-	// Line counts from 1; 0 means that the problem concerns no single line.
+	// Line counts from 1; 0 means that the problem has no single line.
 	Line int
 	// Path is the key path, joined by dots.
 	Path string
-	// Message says what is wrong and what would be right.
+	// Message says what is wrong and what would be valid.
 	Message string
 }
 
-// Error gives the problem in one line, in the form FILE:LINE: PATH: MESSAGE.
+// Error returns the problem in one line, in the form FILE:LINE: PATH: MESSAGE.
 func (p *Problem) Error() string {
 	place := p.File
 	if p.Line > 0 {
@@ -37,12 +37,12 @@
 	return fmt.Sprintf("%s: %s: %s", place, p.Path, p.Message)
 }
 
-// InvalidError lists everything wrong with a tree or file at once.
+// InvalidError lists all problems of a tree or file.
 type InvalidError struct {
 	Problems []*Problem
 }
 
-// Error gives a line for each problem.
+// Error returns one line for each problem.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, problem := range e.Problems {
@@ -51,7 +51,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// decodeProblems turns what the decoder reports into problems.
+// decodeProblems converts an error of the decoder to problems.
 func decodeProblems(file string, err error) []*Problem {
 	var missing *toml.StrictMissingError
 	if errors.As(err, &missing) {
@@ -80,8 +80,8 @@
 	return []*Problem{{File: file, Message: err.Error()}}
 }
 
-// keyLines gives the line on which each key path of a TOML text stands. Keys
-// within inline tables are left out; their table's line serves.
+// keyLines returns the line of each key path of a TOML text. Keys within inline
+// tables are left out; the line of their table is used instead.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	parser := unstable.Parser{}
@@ -118,7 +118,7 @@
 	return 0
 }
 
-// lineOf finds the line of the path or of its nearest ancestor that has one.
+// lineOf returns the line of the path, or of its nearest ancestor that has one.
 func lineOf(lines map[string]int, path string) int {
 	for path != "" {
 		if line, ok := lines[path]; ok {
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -13,8 +13,8 @@
 
 const fixtures = "../../_fixtures/settings"
 
-// TestBadTrees holds that each bad tree gives its error, with file, line, key
-// path and what would be right.
+// TestBadTrees checks that each invalid tree gives its error, with file, line, key
+// path and what would be valid.
 func TestBadTrees(t *testing.T) {
 	cases := []struct {
 		file   string
@@ -65,7 +65,7 @@
 		So(fleet.Customers["camp-drive"].Share, ShouldEqual, 4)
 		So(fleet.Pools["quay-llm"].RetryBudget, ShouldEqual, 0.1)
 	})
-	Convey("A deeper branch overrides a value and takes an entry away", t, func() {
+	Convey("A deeper branch overrides a value and deletes an entry", t, func() {
 		dir := t.TempDir()
 		deeper := filepath.Join(dir, "deeper")
 		So(os.Mkdir(deeper, 0o755), ShouldBeNil)
@@ -93,8 +93,8 @@
 	})
 }
 
-// FuzzTree holds that no text makes the decoder fail but with an *InvalidError,
-// and that what it takes can be made a snapshot of and read back.
+// FuzzTree checks that the decoder fails on any text only with an *InvalidError,
+// and that what it accepts can be encoded as a snapshot and decoded again.
 func FuzzTree(f *testing.F) {
 	f.Add([]byte("[Customers.a]\nShare = 2.0\n"))
 	f.Add([]byte("[Pools.p]\nKind = \"plain\"\nPaths = [\"/\"]\n[Pools.p.Endpoints.e]\nAddress = \"127.0.0.1:1\"\n"))
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -13,8 +13,8 @@
 )
 
 // branch is the schema of one file of the tree. It is used to check the file
-// by itself; merging works on generic tables, so that "not given" and "given
-// as zero" stay apart.
+// by itself; files are merged as generic tables, in which "not set" and "set to
+// zero" differ.
 type branch struct {
 	Defaults  Defaults
 	Classes   map[string]classEntry
@@ -37,9 +37,9 @@
 	Removal
 }
 
-// Removal is embedded in entries that a deeper branch may take away.
+// Removal is embedded in entries that a deeper branch may delete.
 type Removal struct {
-	// Delete takes the entry away; nothing else is then given.
+	// Delete removes the entry; its other keys are ignored.
 	Delete bool
 }
 
@@ -51,11 +51,11 @@
 	lines map[string]int
 }
 
-// LoadFleet resolves a tree: a directory whose files and sub-directories are
-// branches, or a single file. Within a directory files come in order of name;
-// a sub-directory inherits its parent's defaults and may override its entries.
-// Tables merge key by key, lists replace each other, Delete = true takes an
-// entry away. The error is an *InvalidError with every problem found.
+// LoadFleet resolves a settings tree: a directory whose files and sub-directories
+// are branches, or a single file. The files of a directory are read in order of
+// name; a sub-directory inherits its parent's defaults and may override its
+// entries. Tables merge key by key, lists replace each other, and Delete = true
+// removes an entry. The error is an *InvalidError with every problem found.
 func LoadFleet(path string) (fleet *Fleet, err error) {
 	defer func() { err = trace.Wrap(err, "loading settings tree") }()
 	reader := treeReader{result: table{}}
@@ -81,7 +81,7 @@
 	return reader.buildFleet()
 }
 
-// treeReader collects what the branches say, in order.
+// treeReader collects the contents of the branches, in order.
 type treeReader struct {
 	result   table
 	sources  []source
@@ -118,8 +118,8 @@
 	return entry.IsDir() && !strings.HasPrefix(entry.Name(), ".")
 }
 
-// file merges one file into the result and returns the defaults that hold for
-// what comes after it in its branch.
+// readFile merges one file into the result and returns the defaults that apply
+// to what comes after it in its branch.
 func (r *treeReader) readFile(path string, defaults table) (table, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -145,8 +145,8 @@
 	return defaults, nil
 }
 
-// entries merges the entries of one kind. An entry starts from the defaults of
-// the branch that first names it.
+// mergeEntries merges the entries of one kind. An entry starts from the defaults
+// of the branch that first names it.
 func (r *treeReader) mergeEntries(kind string, content, defaults table) {
 	all, _ := r.result[kind].(table)
 	if all == nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-// fillEndpoints gives the endpoints that this file names the values they lack.
+// fillEndpoints applies defaults to the endpoints of the named pools.
 func fillEndpoints(pools, named, defaults table) {
 	for name := range named {
 		pool, _ := pools[name].(table)
@@ -196,7 +196,7 @@
 	return fleet, nil
 }
 
-// locate sets file and line of problems: the last branch that names the path.
+// locate sets the file and line of problems: the last branch that names the path.
 func locate(problems []*Problem, sources []source) {
 	for _, problem := range problems {
 		for i := len(sources) - 1; i >= 0; i-- {
@@ -216,7 +216,7 @@
 	return sub
 }
 
-// merged returns base overridden by over; neither is changed.
+// mergeTables returns base overridden by override; neither is modified.
 func mergeTables(base, override table) table {
 	result := make(table, len(base)+len(override))
 	for key, value := range base {
