--- a/pkg/pool/choose.go
+++ b/pkg/pool/choose.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// zonePenalty is the load that another availability zone counts as.
+	// zonePenalty is the load that is added to endpoints in another availability
+	// zone.
 	zonePenalty = 0.05
 	// affinityPenalty is the extra load at which a request still goes to the
-	// endpoint that probably has its prompt's beginning in its cache.
+	// endpoint that probably has its prompt's beginning in its prefix cache.
 	affinityPenalty = 0.25
-	// tieNoise spreads routers that see the same late reports.
+	// loadJitter spreads the requests of routers that see the same outdated load
+	// reports.
 	loadJitter = 0.02
 )
 
-// choose returns the endpoint that a ticket should go to, or nil when none has
-// room for it now.
+// chooseEndpoint returns the endpoint for a ticket, or nil when none has room
+// for it now.
 func (s *Schedule) chooseEndpoint(t *Ticket, now time.Time) *Endpoint {
 	var best, preferred *Endpoint
 	bestLoad := math.Inf(1)
@@ -52,7 +54,7 @@
 	return best
 }
 
-// skip leaves out endpoints that already failed this request, as long as
+// shouldSkip reports whether the endpoint already failed this request while
 // another one is available.
 func (s *Schedule) shouldSkip(t *Ticket, endpoint *Endpoint, now time.Time) bool {
 	if !t.tried[endpoint.Name] {
@@ -66,7 +68,7 @@
 	return false
 }
 
-// hasRoom tells whether this router may send the ticket to the endpoint now.
+// hasRoom reports whether this router may send the ticket to the endpoint now.
 func (s *Schedule) hasRoom(t *Ticket, endpoint *Endpoint, now time.Time) bool {
 	if !t.Quick && s.rules.QuickSlots > 0 {
 		slots := endpoint.Slots - s.rules.QuickSlots
@@ -86,8 +88,8 @@
 	return false
 }
 
-// demandPart is this router's part of some slots: in proportion to its demand
-// among all routers, and at least 1.
+// demandShare returns this router's share of a number of slots: in proportion to
+// its demand among all routers, and at least 1.
 func (s *Schedule) demandShare(slots int) int {
 	own := float64(s.Demand())
 	total := own + float64(s.peerDemand)
@@ -97,7 +99,8 @@
 	return max(1, int(math.Ceil(float64(slots)*own/total)))
 }
 
-// hasSlack lets a router fill its part of the slots believed free, and keep
+// hasSlack reports whether this router may send the endpoint another request. A
+// router may fill its share of the slots that are estimated to be free, and keep
 // Slack more requests in the engine's own priority queue.
 func (s *Schedule) hasSlack(endpoint *Endpoint, now time.Time) bool {
 	if endpoint.running >= endpoint.Slots+s.rules.Slack {
@@ -108,7 +111,7 @@
 	return len(endpoint.unstarted) < allowed
 }
 
-// affinityRank is the rendezvous hash of a prompt's beginning and an endpoint.
+// affinityRank returns the rendezvous hash of an affinity and an endpoint's name.
 func affinityRank(affinity uint64, endpoint string) uint64 {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], affinity)
--- a/pkg/pool/conversions.go
+++ b/pkg/pool/conversions.go
@@ -8,12 +8,12 @@
 	"github.com/quaylead/quaylead/pkg/share"
 )
 
-// waitingScale turns a mean number of waiting requests into the whole halves
-// that peers are told.
+// waitingScale converts a mean number of waiting requests to the whole number of
+// halves that is sent to peers.
 const waitingScale = 2
 
-// State is the account that peers are told. Amounts are whole weighted tokens,
-// rounded down, so that a total never falls.
+// State returns the state of the pool that is sent to peers. Amounts are whole
+// weighted tokens, rounded down, so that a total never falls.
 func (s *Schedule) State(now time.Time) peer.PoolState {
 	s.updateMeanWaiting(now)
 	state := peer.PoolState{
@@ -35,8 +35,9 @@
 	return state
 }
 
-// Hear applies a peer's account. The first word after a start or a silence tells
-// where customers stand; the later ones tell of service given since.
+// HandleUpdate applies a peer's state of the pool. The first one after a start or
+// a lost session carries the customers' positions; later ones carry the service
+// given since.
 func (s *Schedule) HandleUpdate(incarnation uint64, update peer.PoolState, first bool) {
 	for customer, reported := range update.Customers {
 		service := share.PeerService{
@@ -52,7 +53,7 @@
 	}
 }
 
-// Addresses are the endpoints' addresses by name.
+// Addresses returns the endpoints' addresses by name.
 func (s *Schedule) Addresses() map[string]string {
 	addresses := make(map[string]string, len(s.endpoints))
 	for name, endpoint := range s.endpoints {
--- a/pkg/pool/fairness_test.go
+++ b/pkg/pool/fairness_test.go
@@ -17,19 +17,21 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// fakeFleet is several schedules before engines that honour priorities, driven
-// step by step. Customers are always backlogged at the routers they use.
+// fakeFleet simulates several schedules and engines that honour priorities, step
+// by step. Customers are always backlogged at the routers they use.
 type fakeFleet struct {
 	schedules []*pool.Schedule
 	rules     settings.Pool
 	customers map[string]settings.Customer
-	// uses are the routers of each customer.
+	// uses lists the routers that each customer uses.
 	uses    map[string][]int
 	engines map[string]*fakeEngine
-	// cut routers exchange nothing with the others.
+	// partitioned routers exchange nothing with the others.
 	partitioned map[int]bool
-	synced      map[[2]int]bool
-	// incarnations tell a router that started again from the one before.
+	// synced holds the pairs of sender and receiver that have exchanged a first
+	// update.
+	synced map[[2]int]bool
+	// incarnations distinguish a restarted router from its earlier run.
 	incarnations []uint64
 	now          time.Time
 	service      map[string]float64
@@ -42,7 +44,7 @@
 	running []engineRequest
 }
 
-// flight is a ticket at an engine.
+// engineRequest is a ticket at an engine.
 type engineRequest struct {
 	*pool.Ticket
 	router int
@@ -55,7 +57,7 @@
 	maxOutput    = 100
 	stepDuration = 10 * time.Millisecond
 	gossipSteps  = 50
-	// watchedSteps are many exchanges between routers.
+	// measuredSteps spans many exchanges between routers.
 	measuredSteps = 1500
 )
 
@@ -98,7 +100,7 @@
 	return f
 }
 
-// restart makes a router start again, empty. The others' sessions to it end.
+// restart replaces a router by an empty one. The others' sessions to it end.
 func (f *fakeFleet) restart(router int) {
 	for _, other := range f.schedules {
 		other.Ledger.RemovePeer(f.incarnations[router])
@@ -148,8 +150,8 @@
 	}
 }
 
-// waitingEach is more than the engines can take in a step, so that a customer is
-// never without a waiting request.
+// minWaiting is more than the engines can take in a step, so that a customer
+// always has a waiting request.
 const minWaiting = 8
 
 // arrive keeps requests of each customer waiting at each router it uses.
@@ -222,7 +224,8 @@
 	}
 }
 
-// gap is the widest range of differences since the watch began.
+// gap is the range, for each pair of customers, of the difference in service per
+// share since the measurement began.
 type gap struct {
 	low, high map[[2]string]float64
 }
@@ -249,8 +252,8 @@
 	return widest
 }
 
-// singleQueueBound is twice what all slots can hold, the known result for one
-// queue: 2 * max(w_in * L_in, w_out * M).
+// singleQueueBound is twice the capacity of all slots, the known result for a
+// single queue: 2 * max(w_in * L_in, w_out * M).
 func (f *fakeFleet) singleQueueBound() float64 {
 	return 2 * f.rules.OutputWeight * maxOutput * fakeSlots * float64(len(f.engines))
 }
@@ -269,9 +272,9 @@
 	})
 }
 
-// fleetBound adds what routers can not know of each other: the service given
-// within one exchange interval, by which two customers may drift apart either
-// way, and what each router may have waiting in each engine's queue.
+// fleetBound adds what routers cannot know of each other: the service given
+// within one exchange interval, by which two customers may drift apart in either
+// direction, and what each router may have waiting in each engine's queue.
 func (f *fakeFleet) fleetBound() float64 {
 	perRequest := maxInput*f.rules.InputWeight + maxOutput*f.rules.OutputWeight
 	unreported := gossipSteps * perRequest * float64(len(f.engines))
@@ -293,8 +296,8 @@
 	})
 }
 
-// TestMain fixes the seed of the properties, so that a run gives the same verdict
-// each time; -rapid.seed on the command line searches elsewhere.
+// TestMain fixes the seed of the properties, so that each run gives the same
+// result; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -303,8 +306,8 @@
 	os.Exit(m.Run())
 }
 
-// TestNobodyStarvesAfterARejoin cuts a router off for long, lets it rejoin, and
-// has routers restart empty. After the rejoin the gap stays within the fleet's
+// TestNobodyStarvesAfterARejoin disconnects a router for a long time, reconnects
+// it and restarts another one empty. After that the gap stays within the fleet's
 // bound plus MergeBound, and every customer is served.
 func TestNobodyStarvesAfterARejoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/pkg/pool/order.go
+++ b/pkg/pool/order.go
@@ -8,10 +8,10 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// noteInterval is the least time between two updates of the means.
+// meanUpdateInterval is the minimum time between two updates of the means.
 const meanUpdateInterval = 20 * time.Millisecond
 
-// noteWaiting brings the mean numbers of waiting requests up to date.
+// updateMeanWaiting updates the mean numbers of waiting requests.
 func (s *Schedule) updateMeanWaiting(now time.Time) {
 	if now.Sub(s.meanUpdatedAt) < meanUpdateInterval {
 		return
@@ -22,8 +22,9 @@
 	}
 }
 
-// order sorts the customers that wait here: furthest behind first, or by the
-// arrival of their first request in the baseline.
+// sortedQueues returns the queues with waiting requests: the customer furthest
+// behind first or, with ArrivalOrder, by the arrival of the oldest request.
+// Customers at their limit of unsettled cost are left out.
 func (s *Schedule) sortedQueues() []*queue {
 	queues := make([]*queue, 0, len(s.queues))
 	for _, q := range s.queues {
@@ -47,7 +48,8 @@
 	return queues
 }
 
-// overdrawn tells that what runs unsettled for the customer is at its bound.
+// isAtUnsettledLimit reports whether the estimated cost of what runs for the
+// customer has reached its Unsettled setting.
 func (s *Schedule) isAtUnsettledLimit(q *queue) bool {
 	if q.running == 0 || s.rules.Order == settings.ArrivalOrder {
 		return false
@@ -56,12 +58,12 @@
 	return counter.Pending+counter.Reserved >= s.customers[q.customer].Unsettled
 }
 
-// quickPart is the part of the bound that a customer may lead by and still have
-// its quick requests go first.
+// quickLeadDivisor sets the fraction of MaxLead (a quarter) by which a customer
+// may lead and still have its quick requests go first.
 const quickLeadDivisor = 4
 
-// withinShare tells whether quick requests of the customer go before others: a
-// customer far ahead of its share may not flood the pool by the quick class.
+// isWithinShare reports whether quick requests of the customer go before others:
+// a customer far ahead of its share must not flood the pool by the quick class.
 func (s *Schedule) isWithinShare(q *queue) bool {
 	if s.rules.Order == settings.ArrivalOrder {
 		return false
@@ -69,8 +71,8 @@
 	return s.Ledger.Lead(q.customer) <= s.Ledger.MaxLead/quickLeadDivisor
 }
 
-// takeAny grants a customer's request: quick ones first, or strictly by arrival
-// in the baseline.
+// assignAny assigns one of a customer's requests: quick ones first, or strictly
+// by arrival with ArrivalOrder.
 func (s *Schedule) assignAny(q *queue, now time.Time) *Ticket {
 	if s.rules.Order == settings.ArrivalOrder {
 		return s.assignFirst(q.byArrival(), now)
@@ -81,17 +83,19 @@
 	return s.assignFirst(q.slow, now)
 }
 
-// slowPriority puts requests of no quick class behind those of a quick one.
+// slowPriority is added to the priority of requests of no quick class, and of those
+// of customers far ahead of their share, so that they come after quick requests.
 const slowPriority = 1 << 24
 
-// priorityPart is the part of the bound beyond which leads have one priority. A
-// request keeps its priority while it waits at an engine, however its customer
-// falls behind meanwhile; below the bound, others come to stand level with it,
-// and an engine takes the older of two that stand level.
+// priorityLeadDivisor sets the fraction of MaxLead (a half) above which all leads
+// have the same priority. A request keeps its priority while it waits at an
+// engine, even if its customer falls behind meanwhile. With a limit below MaxLead
+// other requests reach the same priority, and an engine takes the older of two
+// requests of equal priority.
 const priorityLeadDivisor = 2
 
-// priority is the customer's lead at the moment of sending, so that an engine
-// with requests of several routers serves the one furthest behind.
+// priority returns the customer's lead at the time of sending, so that an engine
+// with requests of several routers serves the customer furthest behind.
 func (s *Schedule) priority(t *Ticket) int {
 	if s.rules.Order == settings.ArrivalOrder {
 		return 0
--- a/pkg/pool/queue.go
+++ b/pkg/pool/queue.go
@@ -6,35 +6,39 @@
 	"time"
 )
 
-// queue is one customer's line at one router.
+// queue holds one customer's requests at one router.
 type queue struct {
 	customer string
 	// quick and slow hold the waiting tickets in order of arrival.
 	quick []*Ticket
 	slow  []*Ticket
-	// unstarted are the tickets that were sent to an endpoint and show no sign of
-	// having begun; they may wait in the endpoint's own queue.
+	// unstarted holds the tickets that were sent to an endpoint and show no sign
+	// of having begun; they may wait in the endpoint's own queue.
 	unstarted map[*Ticket]struct{}
 	// running counts the customer's tickets at endpoints.
 	running int
-	// key is the customer's place, computed afresh for each decision.
+	// key is the customer's position in the order, computed for each decision.
 	key float64
-	// typical is a moving mean of the true output, by class.
+	// meanOutput is a moving mean of the actual output tokens, by class.
 	meanOutput map[string]float64
 
+	// mean is the moving mean of the requests that wait, as of meanAt.
 	mean   float64
 	meanAt time.Time
 
+	// lastGrant is when a ticket was last sent to an endpoint, and
+	// meanGrantInterval the moving mean of the time between two grants.
 	lastGrant         time.Time
 	meanGrantInterval time.Duration
 }
 
 const (
-	// firstOutputGuess stands for the output of a class never seen to end.
+	// initialOutputEstimate is the assumed output of a class of which no request
+	// has finished yet.
 	initialOutputEstimate = 128
 	// learnRate is the weight of the newest request in moving means.
 	smoothingFactor = 0.2
-	// leastRetryAfter and mostRetryAfter bound the advice to come back.
+	// minRetryAfter and maxRetryAfter bound the retry advice of a refusal.
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
@@ -43,8 +47,8 @@
 	return len(q.quick) + len(q.slow)
 }
 
-// push puts a ticket in line; one that comes back from an endpoint goes first,
-// since it has waited its turn.
+// push queues a ticket. One that returns from an endpoint goes first, since it
+// has already waited.
 func (q *queue) push(t *Ticket) {
 	list := &q.slow
 	if t.Quick {
@@ -66,7 +70,7 @@
 	q.slow = slices.DeleteFunc(q.slow, same)
 }
 
-// first is the arrival of the customer's oldest waiting ticket.
+// oldestArrival returns the arrival of the customer's oldest waiting ticket.
 func (q *queue) oldestArrival() time.Time {
 	switch {
 	case len(q.quick) == 0:
@@ -78,10 +82,10 @@
 	}
 }
 
-// meanTime is the time over which the mean of waiting requests moves.
+// meanTimeConstant is the time constant of the moving mean of waiting requests.
 const meanTimeConstant = time.Second
 
-// meanWaiting is the moving mean of the requests that wait here or in an
+// meanWaiting returns the moving mean of the requests that wait here or in an
 // endpoint's queue.
 func (q *queue) meanWaiting(now time.Time) float64 {
 	waiting := float64(q.waitingCount() + len(q.unstarted))
@@ -91,7 +95,7 @@
 	return q.mean
 }
 
-// byArrival gives all tickets in order of arrival, for the baseline.
+// byArrival returns all tickets in order of arrival, for ArrivalOrder.
 func (q *queue) byArrival() []*Ticket {
 	all := slices.Concat(q.quick, q.slow)
 	slices.SortStableFunc(all, func(a, b *Ticket) int { return a.Arrived.Compare(b.Arrived) })
@@ -107,7 +111,7 @@
 	q.lastGrant = now
 }
 
-// retryAfter estimates when the line will have moved on by half.
+// retryAfter estimates the time until half of the queue is served.
 func (q *queue) retryAfter() time.Duration {
 	wait := q.meanGrantInterval * time.Duration(q.waitingCount()) / 2
 	return min(max(wait, minRetryAfter), maxRetryAfter)
--- a/pkg/pool/reports.go
+++ b/pkg/pool/reports.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Report applies an endpoint's word on its load. A report that shows an empty
-// queue proves that what was sent well before it has begun.
+// Report applies an endpoint's load report. A report of an empty queue proves
+// that requests sent well before it have begun.
 func (s *Schedule) Report(name string, report Report, now time.Time) {
 	endpoint := s.endpoints[name]
 	if endpoint == nil {
@@ -26,7 +26,7 @@
 	}
 }
 
-// ReportFailed notes that an endpoint did not answer when asked for its load.
+// ReportFailed records that an endpoint did not answer a request for its load.
 func (s *Schedule) ReportFailed(name string, now time.Time) {
 	endpoint := s.endpoints[name]
 	if endpoint == nil || now.Before(endpoint.ejectedUntil) {
@@ -35,16 +35,16 @@
 	endpoint.recordFailure(now, &s.rules)
 }
 
-// ListLeaving applies the box list's word. The list lags, so it can only take
-// work away: an endpoint that says itself that it leaves stays without.
+// SetLeaving applies the box list. The list lags, so it can only take work away:
+// an endpoint that reports itself that it is leaving stays without work.
 func (s *Schedule) SetLeaving(leaving map[string]bool) {
 	for _, endpoint := range s.inOrder {
 		endpoint.listedLeaving = leaving[endpoint.Address]
 	}
 }
 
-// NoneAvailable tells that every endpoint is leaving or ejected, and how long
-// until the first ejected one is tried again.
+// NoneAvailable reports whether every endpoint is leaving or ejected, and how
+// long it takes until the first ejected one is tried again.
 func (s *Schedule) NoneAvailable(now time.Time) (wait time.Duration, none bool) {
 	for _, endpoint := range s.inOrder {
 		if endpoint.isAvailable(now) || endpoint.probing {
@@ -57,8 +57,8 @@
 	return wait, true
 }
 
-// SetPeers says how many routers live, this one included, and what the others
-// together have waiting and running in the pool.
+// SetPeers sets the number of live routers, this one included, and the number of
+// requests that the others together have waiting and running in the pool.
 func (s *Schedule) SetPeers(liveRouters, peerDemand int) {
 	s.liveRouters = max(1, liveRouters)
 	s.peerDemand = peerDemand
--- a/pkg/pool/schedule.go
+++ b/pkg/pool/schedule.go
@@ -1,6 +1,7 @@
 // Package pool decides which waiting request goes to which endpoint, and when.
-// Schedule is pure: events in, decisions out, with the time as an argument.
-// Pool puts a lock around it for the goroutines that serve callers.
+// Schedule does no I/O and reads no clock: it takes events and the time as
+// arguments and returns decisions. Pool adds a lock for the goroutines that serve
+// callers.
 package pool
 
 import (
@@ -22,34 +23,35 @@
 	Zone string
 	// Rand breaks ties; tests seed it.
 	Rand *rand.Rand
-	// Ledger holds who has had what service.
+	// Ledger records the service that each customer has had.
 	Ledger share.Ledger
 
 	rules     settings.Pool
 	customers map[string]settings.Customer
 	endpoints map[string]*Endpoint
-	// inOrder are the endpoints by name, so that decisions do not depend on the
-	// order of a map.
+	// inOrder holds the endpoints sorted by name, so that decisions do not depend
+	// on the order of a map.
 	inOrder []*Endpoint
 	queues  map[string]*queue
 	// waiting and running count this router's tickets in the pool.
 	waiting int
 	running int
-	// liveRouters counts this router and its live peers; at least 1.
+	// liveRouters counts this router and its live peers; it is at least 1.
 	liveRouters int
-	// peerDemand is what the live peers together have waiting and running.
+	// peerDemand is the number of requests that the live peers together have
+	// waiting and running.
 	peerDemand int
-	// notedAt is when the mean numbers of waiting requests were brought up to date.
+	// meanUpdatedAt is when the mean numbers of waiting requests were updated.
 	meanUpdatedAt time.Time
-	// retries is the number of retries the budget allows now.
+	// retryBudget is the number of retries that are allowed now.
 	retryBudget float64
 }
 
-// retryBurst caps the retries that successes may save up.
+// maxRetryBudget caps the retries that successes can accumulate.
 const maxRetryBudget = 10
 
-// Configure applies settings. Requests in flight finish under what they began
-// with; endpoints that are gone get no new work.
+// Configure applies settings. Requests in flight finish at the endpoint they were
+// sent to; endpoints that were removed get no new work.
 func (s *Schedule) Configure(rules settings.Pool, customers map[string]settings.Customer) {
 	s.rules = rules
 	s.customers = customers
@@ -77,12 +79,12 @@
 	}
 }
 
-// typicalBatchTokens stand for the answer in each slot where MergeBound is
-// derived.
+// typicalAnswerTokens is the assumed length of the answer in each slot when the
+// maximum lead is derived from the slots.
 const typicalAnswerTokens = 256
 
-// boundOf is the pool's MergeBound, or what it is when none is set: twice the
-// gap that a single queue would guarantee for these slots.
+// maxLeadOf returns the pool's MergeBound or, when none is set, twice the gap that
+// a single queue would guarantee for these slots.
 func maxLeadOf(rules *settings.Pool) float64 {
 	if rules.MergeBound > 0 {
 		return rules.MergeBound
@@ -99,7 +101,7 @@
 	return s.rules
 }
 
-// Enqueue puts a ticket in line, or refuses it when its customer's line is full.
+// Enqueue queues a ticket, or refuses it when its customer's queue is full.
 func (s *Schedule) Enqueue(t *Ticket, now time.Time) *request.Refusal {
 	q := s.queue(t.Customer)
 	if q.waitingCount() >= s.customers[t.Customer].QueueLength {
@@ -117,8 +119,8 @@
 	return nil
 }
 
-// Withdraw takes a waiting ticket out of line. It returns false when the
-// ticket was granted an endpoint before; the caller then has to Finish it.
+// Withdraw removes a waiting ticket from its queue. It returns false when the
+// ticket was granted before; the caller must then call Finish.
 func (s *Schedule) Withdraw(t *Ticket) bool {
 	if t.phase != waiting {
 		return false
@@ -130,8 +132,8 @@
 	return true
 }
 
-// Next chooses the ticket to go next and its endpoint, and books it as running.
-// It returns nil when nothing that waits can go now.
+// Next selects the ticket to send next and its endpoint, and records it as
+// running. It returns nil when no waiting ticket can be sent now.
 func (s *Schedule) Next(now time.Time) *Ticket {
 	if s.waiting == 0 {
 		return nil
@@ -154,10 +156,10 @@
 	return nil
 }
 
-// take grants the first ticket for which an endpoint has room.
+// assignFirst assigns the first ticket for which an endpoint has room.
 func (s *Schedule) assignFirst(tickets []*Ticket, now time.Time) *Ticket {
 	for i, t := range tickets {
-		// Tickets alike find no room where the one before found none.
+		// A ticket of the same kind finds no room if the one before found none.
 		if i > 0 && t.Quick == tickets[i-1].Quick && len(t.tried) == 0 {
 			continue
 		}
@@ -169,6 +171,8 @@
 	return nil
 }
 
+// assign records that the ticket is sent to the endpoint and reserves its
+// estimated cost.
 func (s *Schedule) assign(t *Ticket, endpoint *Endpoint, now time.Time) {
 	q := s.queue(t.Customer)
 	q.remove(t)
@@ -195,7 +199,7 @@
 	}
 }
 
-// estimate is what a request is charged before its cost is known.
+// estimate returns what a request is charged before its cost is known.
 func (s *Schedule) estimate(t *Ticket) float64 {
 	if s.rules.Kind == settings.PlainPool {
 		return 1
@@ -207,7 +211,7 @@
 	return t.InputTokens*s.rules.InputWeight + output*s.rules.OutputWeight
 }
 
-// Begin notes the first piece of an answer: the request holds a slot now.
+// Begin records the first piece of an answer: the request now holds a slot.
 func (s *Schedule) Begin(t *Ticket) {
 	if t.phase != running || t.started {
 		return
@@ -218,6 +222,8 @@
 	}
 }
 
+// markStarted records that the endpoint has begun the request, and charges the
+// estimated cost.
 func (s *Schedule) markStarted(t *Ticket) {
 	t.started = true
 	s.Ledger.Depart(t.Customer)
@@ -226,13 +232,14 @@
 	delete(s.queue(t.Customer).unstarted, t)
 }
 
-// Stream books tokens as they are streamed.
+// Stream charges tokens as they are streamed.
 func (s *Schedule) Stream(t *Ticket, tokens float64) {
 	if t.phase == running {
 		s.chargeService(t, tokens*s.rules.OutputWeight)
 	}
 }
 
+// chargeService charges service to the customer, using up the estimate first.
 func (s *Schedule) chargeService(t *Ticket, service float64) {
 	covered := min(max(service, 0), t.remainingEstimate)
 	t.remainingEstimate -= covered
@@ -240,7 +247,8 @@
 	s.Ledger.Serve(t.Customer, service, covered)
 }
 
-// Finish settles an attempt. After it the ticket may be enqueued again.
+// Finish records the outcome of an attempt. The ticket may be enqueued again
+// afterwards.
 func (s *Schedule) Finish(t *Ticket, outcome Outcome, now time.Time) {
 	if t.phase != running {
 		return
@@ -261,7 +269,7 @@
 		t.tried = map[string]bool{}
 	}
 	t.tried[endpoint.Name] = true
-	switch how := outcome.(type) {
+	switch outcome := outcome.(type) {
 	case Answered:
 		endpoint.recordSuccess()
 		s.retryBudget = min(s.retryBudget+s.rules.RetryBudget, maxRetryBudget)
@@ -269,13 +277,13 @@
 		endpoint.recordFailure(now, &s.rules)
 	case Declined:
 		endpoint.probing = false
-		endpoint.reportedLeaving = endpoint.reportedLeaving || how.Leaving
+		endpoint.reportedLeaving = endpoint.reportedLeaving || outcome.Leaving
 	case Moved, Abandoned:
 		endpoint.probing = false
 	}
 }
 
-// settle brings what was charged to the true cost.
+// settle corrects what was charged to the actual cost.
 func (s *Schedule) settle(t *Ticket, outcome Outcome) {
 	if answered, ok := outcome.(Answered); ok {
 		q := s.queue(t.Customer)
@@ -292,12 +300,12 @@
 	t.remainingEstimate = 0
 }
 
-// strandedAfter is how long a request waits in an endpoint's queue before it may
-// be taken back. It is longer than load reports lag.
+// strandedDelay is how long a request waits in an endpoint's queue before it may
+// be taken back. It is longer than the lag of load reports.
 const strandedDelay = time.Second
 
-// Stranded tells that a request waits in its endpoint's queue although another
-// endpoint has a free slot, as when its own became slow.
+// IsStranded reports whether a request waits in its endpoint's queue although
+// another endpoint has a free slot, for example because its own became slow.
 func (s *Schedule) IsStranded(t *Ticket, now time.Time) bool {
 	if t.phase != running || t.started || !t.Streamed || now.Sub(t.sentAt) < strandedDelay {
 		return false
@@ -313,7 +321,7 @@
 	return false
 }
 
-// TakeRetry tells whether the retry budget allows another attempt, and books it.
+// TakeRetry takes a retry from the budget and returns false when none is left.
 func (s *Schedule) TakeRetry() bool {
 	if s.retryBudget < 1 {
 		return false
@@ -322,7 +330,8 @@
 	return true
 }
 
-// Demand is what this router has waiting and running in the pool.
+// Demand returns the number of requests that this router has waiting and running
+// in the pool.
 func (s *Schedule) Demand() int {
 	return s.waiting + s.running
 }
@@ -340,7 +349,7 @@
 	return q
 }
 
-// Waiting is the number of a customer's requests that wait here.
+// Waiting returns the number of a customer's requests that wait here.
 func (s *Schedule) Waiting(customer string) int {
 	return s.queue(customer).waitingCount()
 }
--- a/pkg/pool/ticket.go
+++ b/pkg/pool/ticket.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Ticket is one request's place in a pool. The exported fields are set before
-// Submit and not changed after; the rest belongs to the schedule.
+// Ticket is one request in a pool. The exported fields down to Granted are set
+// before Submit and not changed after; the rest belongs to the schedule.
 type Ticket struct {
 	// ID is the request's id, for logs.
 	ID string
-	// Customer owns the request; the schedule knows it by its settings.
+	// Customer owns the request; the schedule has the settings of this name.
 	Customer string
 	// Class is the request's class, and Quick whether the class is quick.
 	Class string
@@ -21,15 +21,15 @@
 	Affinity uint64
 	// Arrived is when the request was received.
 	Arrived time.Time
-	// Streamed tells that the answer comes in pieces, so that its first piece
-	// shows that the endpoint has begun.
+	// Streamed is set when the answer is streamed, so that its first piece shows
+	// that the endpoint has begun.
 	Streamed bool
-	// Granted receives one value when an endpoint has room. Capacity 1.
+	// Granted receives one value when an endpoint has room. It has capacity 1.
 	Granted chan struct{}
 
-	// Endpoint and Priority are set by the schedule before Granted is sent.
+	// Endpoint is set by the schedule before Granted receives.
 	Endpoint *Endpoint
-	// Priority is what the engine orders its queue by, lower first.
+	// Priority orders the engine's queue, lower first. It is set with Endpoint.
 	Priority int
 
 	tried             map[string]bool
@@ -41,7 +41,7 @@
 	served            float64
 }
 
-// phase is where a ticket stands in the schedule.
+// phase is the state of a ticket in the schedule.
 type phase int
 
 const (
@@ -51,33 +51,33 @@
 	finished
 )
 
-// Outcome is how an attempt at an endpoint ended: one of Answered, Failed,
+// Outcome is the result of an attempt at an endpoint: one of Answered, Failed,
 // Declined, Moved and Abandoned.
 type Outcome interface {
 	outcome()
 }
 
-// Answered means that the endpoint gave its whole answer.
+// Answered means that the endpoint sent its whole answer.
 type Answered struct {
-	// InputTokens and OutputTokens are the true cost; for plain services 0.
+	// InputTokens and OutputTokens are the actual cost; 0 for plain services.
 	InputTokens  float64
 	OutputTokens float64
-	// Known tells that the endpoint gave the true cost. Otherwise what was
-	// counted while streaming stands.
+	// UsageKnown is set when the endpoint reported the actual cost. Otherwise
+	// the tokens counted while streaming are charged.
 	UsageKnown bool
 }
 
-// Failed means that the endpoint could not be reached or broke off.
+// Failed means that the endpoint could not be reached or broke off its answer.
 type Failed struct{}
 
-// Declined means that the endpoint proved that it ran nothing, and why: it is
-// leaving, or it is full.
+// Declined means that the endpoint proved that it ran nothing, because it is
+// leaving or full.
 type Declined struct {
 	Leaving bool
 }
 
 // Moved means that the request waited in the endpoint's queue while another
-// endpoint had a free slot, and was taken back to go there.
+// endpoint had a free slot, and was taken back to be sent there.
 type Moved struct{}
 
 // Abandoned means that the caller went away or its deadline passed.
