--- a/pkg/box/members.go
+++ b/pkg/box/members.go
@@ -1,5 +1,5 @@
-// Package box keeps which boxes of the fleet are alive, from what they say
-// themselves and from the platform's lagging list.
+// Package box tracks which boxes of the fleet are alive, from the updates that they
+// send themselves.
 package box
 
 import (
@@ -10,31 +10,32 @@
 	"github.com/quaylead/quaylead/pkg/peer"
 )
 
-// Member is another box that was heard of.
+// Member is another box that has sent an update.
 type Member struct {
 	peer.Sender
-	// HeardAt is when its last message came.
+	// HeardAt is when its last update was received.
 	HeardAt time.Time
 	// Revision is the revision of the settings in force there.
 	Revision uint64
-	// Leaving is set once it stops taking work.
+	// Leaving is set once it takes no new work.
 	Leaving bool
 	// Silent is set once its session ended.
 	Silent bool
-	// Demand is what it has waiting and running, by pool.
+	// Demand is the number of requests it has waiting and running, by pool.
 	Demand map[string]int
 }
 
-// Members are the other boxes, by incarnation. It is safe for concurrent use.
+// Members tracks the other boxes, by incarnation. It is safe for concurrent use.
 type Members struct {
 	mu      sync.Mutex
 	members map[uint64]*Member
 }
 
-// keepSilent is how long a silent incarnation stays listed for operators.
+// silentTTL is how long an incarnation is kept after its session ended.
 const silentTTL = 10 * time.Minute
 
-// Heard notes a message. First messages hold everything, later ones changes.
+// HandleUpdate records an update. The first one of a session holds the whole state,
+// later ones the changes.
 func (m *Members) HandleUpdate(from peer.Sender, update peer.State, first bool, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,7 +57,7 @@
 	m.removeExpired(now)
 }
 
-// Silent notes that a box's session ended.
+// HandlePeerLost records that a box's session ended.
 func (m *Members) HandlePeerLost(from peer.Sender) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,8 +74,8 @@
 	}
 }
 
-// EachLive calls a function with each member that is heard and takes work. The
-// function may keep nothing of it.
+// EachLive calls a function with each member that has a session and takes work. The
+// function must not retain the member.
 func (m *Members) EachLive(call func(*Member)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,13 +86,13 @@
 	}
 }
 
-// CountLive is the number of members that are heard and take work.
+// CountLive returns the number of members that have a session and take work.
 func (m *Members) CountLive() (count int) {
 	m.EachLive(func(*Member) { count++ })
 	return count
 }
 
-// Live returns copies of the members that are heard and take work.
+// Live returns copies of the members that have a session and take work.
 func (m *Members) Live() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,8 +108,8 @@
 	return live
 }
 
-// Demand returns the number of live routers in a pool, this one included, and
-// what the others have waiting and running there.
+// Demand returns the number of live routers in a pool, this one included, and the
+// number of requests that the others have waiting and running there.
 func (m *Members) Demand(pool string) (liveRouters, demand int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/box/members_test.go
+++ b/pkg/box/members_test.go
@@ -11,9 +11,9 @@
 	"github.com/quaylead/quaylead/pkg/peer"
 )
 
-// TestLiveIsNotSharedWithNews reads members, as an operator's call does, while
-// news of them comes in. The runtime ends a process that iterates over a map
-// which another goroutine writes.
+// TestLiveIsNotSharedWithNews encodes members, as an operator's call does, while
+// updates of them are recorded. If Live shared a map with its caller, the runtime
+// would end the process for iterating over it during a write.
 func TestLiveIsNotSharedWithNews(t *testing.T) {
 	var members box.Members
 	from := peer.Sender{Box: "box-1", Incarnation: 1}
--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -19,7 +19,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// followHead looks for accepted settings in the store.
+// pollHead polls the store for accepted settings.
 func (r *Router) pollHead(ctx context.Context) error {
 	if r.Box.Platform.Address == "" {
 		return nil
@@ -27,13 +27,14 @@
 	log := r.logs.For(logflags.Settings)
 	interval.Every(ctx, r.Box.Platform.HeadInterval.Duration, func() {
 		if err := r.checkHead(); err != nil {
-			log.Debug("looking for accepted settings failed", zap.Error(err))
+			log.Debug("reading the accepted settings failed", zap.Error(err))
 		}
 	})
 	return nil
 }
 
-// checkHead reads the head row and, when it is newer, the snapshot it names.
+// checkHead reads the head row and, when it is newer, applies the snapshot that it
+// names.
 func (r *Router) checkHead() error {
 	head, _, err := revision.Repository{Store: r.store}.Head()
 	if err != nil || head.Revision <= r.revision() {
@@ -46,7 +47,8 @@
 	return r.apply(head.Revision, snapshot)
 }
 
-// revision is that of the settings in force; 0 when there are none accepted.
+// revision returns the revision of the settings in force; 0 when none were
+// accepted.
 func (r *Router) revision() uint64 {
 	if current := r.current.Load(); current != nil {
 		return current.revision
@@ -54,7 +56,7 @@
 	return 0
 }
 
-// followBoxList looks at the platform's list of boxes.
+// pollBoxList polls the platform's list of boxes.
 func (r *Router) pollBoxList(ctx context.Context) error {
 	if r.Box.Platform.Address == "" {
 		return nil
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// applyBoxList adds peers and takes work from endpoints that are leaving. A
-// box that is missing from the list is not taken for dead: the list lags.
+// applyBoxList adds peers and takes work from endpoints that are leaving. A box
+// that is missing from the list is not assumed dead, because the list lags.
 func (r *Router) applyBoxList(boxes []platform.ListedBox) {
 	peers := map[string]settings.Peer{}
 	leaving := map[string]bool{}
@@ -84,7 +86,7 @@
 			leaving[listed.Address] = listed.State == platform.LeavingState
 		}
 	}
-	// What this box's own settings say of a peer goes before the list.
+	// This box's own settings of a peer take precedence over the list.
 	for name, configured := range r.Box.Peers {
 		peers[name] = configured
 	}
@@ -97,7 +99,8 @@
 	}
 }
 
-// followPeers tells each pool how many routers live and what they demand.
+// updatePeerDemand updates each pool with the number of live routers and their
+// demand.
 func (r *Router) updatePeerDemand(ctx context.Context) error {
 	interval.Every(ctx, r.Box.Exchange.Interval.Duration, func() {
 		for name, p := range r.allPools() {
@@ -108,7 +111,7 @@
 	return nil
 }
 
-// State gives peers this router's account of every pool.
+// State returns the state of every pool, to be sent to peers.
 func (r *Router) State() peer.State {
 	state := peer.State{
 		Revision: r.revision(),
@@ -123,7 +126,7 @@
 	return state
 }
 
-// Snapshot gives peers the settings in force.
+// Snapshot returns the settings in force, to be sent to peers.
 func (r *Router) Snapshot() (revision uint64, content []byte) {
 	current := r.current.Load()
 	if current == nil {
@@ -132,7 +135,7 @@
 	return current.revision, current.snapshot
 }
 
-// Heard applies a peer's account.
+// HandleUpdate applies a peer's update.
 func (r *Router) HandleUpdate(from peer.Sender, update peer.State, first bool) {
 	r.members.HandleUpdate(from, update, first, time.Now())
 	for name, state := range update.Pools {
@@ -147,8 +150,8 @@
 	}
 }
 
-// fetchSettings takes a higher revision from the peer that told of it, so that
-// a store outage does not stop its spread.
+// fetchSettings fetches a higher revision from the peer that reported it, so that
+// a store outage does not stop it from spreading.
 func (r *Router) fetchSettings(from string, revision uint64) {
 	log := r.logs.For(logflags.Settings)
 	found, content, err := r.exchange.FetchSettings(from, revision)
@@ -160,7 +163,7 @@
 	}
 }
 
-// Silent drops what a peer said is waiting or charged there.
+// HandlePeerLost drops the waiting requests and the charges that a peer reported.
 func (r *Router) HandlePeerLost(from peer.Sender) {
 	r.members.HandlePeerLost(from)
 	for _, p := range r.allPools() {
@@ -168,7 +171,7 @@
 	}
 }
 
-// followReports asks endpoints for their load.
+// pollReports polls endpoints for their load.
 func (r *Router) pollReports(ctx context.Context) error {
 	lastPolls := map[string]time.Time{}
 	interval.Every(ctx, reportCheckInterval, func() {
@@ -185,7 +188,7 @@
 	return nil
 }
 
-// reportTick is the finest grain of report intervals.
+// reportCheckInterval is the granularity of report intervals.
 const reportCheckInterval = 50 * time.Millisecond
 
 func endpointsOf(p *pool.Pool) (rules settings.Pool, addresses map[string]string) {
@@ -196,7 +199,8 @@
 	return rules, addresses
 }
 
-// askReports asks all endpoints of a pool at once, each within the interval.
+// fetchReports reads the load of all endpoints of a pool at once, each within the
+// report interval.
 func (r *Router) fetchReports(p *pool.Pool, rules *settings.Pool, addresses map[string]string) {
 	group := errgroup.Group{}
 	for name, address := range addresses {
@@ -212,13 +216,13 @@
 			return nil
 		})
 	}
-	// The workers report failures to the schedule and return none.
+	// The workers pass failures to the schedule and return nil.
 	_ = group.Wait()
 }
 
-// askReport reads one endpoint's load.
+// fetchReport reads one endpoint's load.
 func (r *Router) fetchReport(address string, rules *settings.Pool) (report pool.Report, err error) {
-	defer func() { err = trace.Wrap(err, "asking endpoint %s for its load", address) }()
+	defer func() { err = trace.Wrap(err, "reading the load of endpoint %s", address) }()
 	call := &fasthttp.Request{}
 	call.SetRequestURI("http://" + address + rules.ReportPath)
 	timeout := max(rules.ReportInterval.Duration, rules.ConnectTimeout.Duration)
--- a/pkg/router/caller.go
+++ b/pkg/router/caller.go
@@ -23,15 +23,15 @@
 	TimeoutHeader = "Quaylead-Timeout"
 )
 
-// newID makes an identifier that no other request or process has.
+// newID returns a random identifier that no other request or process has.
 func newID() string {
 	var random [15]byte
-	// The standard library's source never fails.
+	// Read of crypto/rand never returns an error.
 	_, _ = rand.Read(random[:])
 	return base64.RawURLEncoding.EncodeToString(random[:])
 }
 
-// maxIDLength bounds the ids that callers may give.
+// maxIDLength bounds the request ids that callers may set.
 const maxIDLength = 128
 
 func requestID(ctx *fasthttp.RequestCtx) string {
@@ -57,7 +57,7 @@
 	}
 }
 
-// route finds out what a call is, and has it served.
+// route determines what kind of call it is and serves it.
 func (r *Router) route(j *job) *request.Refusal {
 	j.view = r.current.Load()
 	if j.view == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// readDeadline sets the one deadline that is carried through the request.
+// parseDeadline sets the deadline that applies to the whole request.
 func (j *job) parseDeadline() *request.Refusal {
 	timeout := j.router.Box.Limits.RequestTimeout.Duration
 	given := j.ctx.Request.Header.Peek(TimeoutHeader)
@@ -105,7 +105,7 @@
 	return &request.Refusal{Code: request.InvalidRequest, Message: message, Run: request.NotRun}
 }
 
-// modelList is the answer to /v1/models.
+// modelList is the response body of /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// refuse writes a final answer of our own.
+// refuse writes a refusal as the final answer.
 func (j *job) refuse(refusal *request.Refusal) {
 	r := j.router
 	r.Metrics.Refusals.Add(string(refusal.Code), 1)
@@ -149,7 +149,7 @@
 	}
 }
 
-// refuseMalformed answers what is no HTTP request within the limits.
+// refuseMalformed answers calls that are not HTTP requests within the limits.
 func (r *Router) refuseMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r.logs.For(logflags.Caller).Debug("malformed request", zap.Error(err))
 	refusal := invalidRequest("the request is malformed, too large or too slow")
@@ -157,7 +157,7 @@
 	ctx.SetConnectionClose()
 }
 
-// gone tells whether the caller's connection is closed.
+// callerGone reports whether the caller's connection is closed.
 func (j *job) callerGone() bool {
 	return !endpoint.IsOpen(j.ctx.Conn())
 }
--- a/pkg/router/job.go
+++ b/pkg/router/job.go
@@ -12,7 +12,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// job is one caller's request on its way through the router.
+// job is one caller's request while the router handles it.
 type job struct {
 	router   *Router
 	ctx      *fasthttp.RequestCtx
@@ -28,41 +28,44 @@
 	rules     settings.Pool
 	ticket    *pool.Ticket
 	lifecycle request.Lifecycle
-	// repeatable tells that the request may be sent more than once.
+	// repeatable is set when the request may be sent more than once.
 	repeatable bool
-	// compose writes the request for the endpoint that was chosen.
+	// buildRequest builds the request for the assigned endpoint.
 	buildRequest func() (*fasthttp.Request, error)
-	// tries counts the endpoints that were granted, whether reached or not.
+	// grants counts the endpoints that were granted, whether reached or not.
 	grants int
-	// streaming is set once the answer's stream has the job; it then ends it.
+	// streaming is set once the answer's stream owns the job; closing the stream
+	// then ends the job.
 	streaming bool
 }
 
-// callerCheck is the time between two looks whether a waiting caller is gone.
+// callerCheckInterval is the time between two checks whether a waiting caller is
+// gone.
 const callerCheckInterval = 500 * time.Millisecond
 
-// retryHint is the advice to come back after a failure that passes soon.
+// defaultRetryAfter is the retry advice after a failure that passes soon.
 const defaultRetryAfter = time.Second
 
-// goneError ends waiting for an endpoint whose caller went away.
+// callerGoneError ends the wait for an endpoint when the caller went away.
 type callerGoneError struct{}
 
-// Error says why the wait ended.
+// Error implements the error interface.
 func (callerGoneError) Error() string { return "the caller went away" }
 
-// lateError ends waiting for an endpoint when the deadline passed.
+// deadlineError ends the wait for an endpoint when the deadline passed.
 type deadlineError struct{}
 
-// Error says why the wait ended.
+// Error implements the error interface.
 func (deadlineError) Error() string { return "the deadline passed" }
 
-// strandedError ends waiting in the queue of an endpoint while another is free.
+// strandedError ends the wait in an endpoint's queue when another is free.
 type strandedError struct{}
 
-// Error says why the wait ended.
+// Error implements the error interface.
 func (strandedError) Error() string { return "another endpoint has a free slot" }
 
-// checkAnswer is asked while an endpoint's answer is awaited.
+// checkWhileWaiting is called repeatedly while the job waits for an endpoint's
+// answer. An error ends the wait.
 func (j *job) checkWhileWaiting() error {
 	if j.repeatable && j.lifecycle.Attempts() < maxAttempts && j.pool.IsStranded(j.ticket) {
 		return strandedError{}
@@ -70,7 +73,7 @@
 	return j.checkActive()
 }
 
-// check tells whether the request is still wanted.
+// checkActive returns an error when the deadline passed or the caller is gone.
 func (j *job) checkActive() error {
 	if time.Now().After(j.deadline) {
 		return deadlineError{}
@@ -81,7 +84,7 @@
 	return nil
 }
 
-// enter sets the job's pool and makes its ticket.
+// assignPool sets the job's pool and creates its ticket.
 func (j *job) assignPool(poolName string) *request.Refusal {
 	if !j.view.canUsePool(j.customer, poolName) {
 		return &request.Refusal{
@@ -102,9 +105,9 @@
 	return nil
 }
 
-// obtain gets the head of an endpoint's answer for a ticket in line, trying
-// other endpoints as far as that is safe and within the retry budget. The
-// ticket is running then.
+// obtainAnswer returns the head of an endpoint's answer for a queued ticket. It
+// tries other endpoints as far as that is safe and within the retry budget. When
+// it returns an answer, the ticket is running.
 func (j *job) obtainAnswer() (*endpoint.CheckedResponse, *request.Refusal) {
 	for {
 		if refusal := j.awaitGrant(); refusal != nil {
@@ -120,7 +123,7 @@
 	}
 }
 
-// awaitGrant waits in line for an endpoint with room.
+// awaitGrant waits for an endpoint with room.
 func (j *job) awaitGrant() *request.Refusal {
 	if j.lifecycle.State() < request.Queued {
 		// A received request can always be queued.
@@ -149,8 +152,8 @@
 	}
 }
 
-// hopeless gives up at once when no endpoint of the pool can be used: waiting
-// on would only hold the answer back.
+// refuseIfUnavailable refuses the request at once when no endpoint of the pool can
+// be used: a longer wait would only delay the answer.
 func (j *job) refuseIfUnavailable() *request.Refusal {
 	wait, none := j.pool.NoneAvailable()
 	if !none || !j.pool.Withdraw(j.ticket) {
@@ -164,7 +167,8 @@
 	}
 }
 
-// givenUp is the final answer when the caller or the deadline ended a request.
+// abandonedRefusal returns the refusal for a request that the caller or the
+// deadline ended.
 func (j *job) abandonedRefusal(err error) *request.Refusal {
 	if errors.Is(err, callerGoneError{}) {
 		return &request.Refusal{
@@ -186,10 +190,10 @@
 	leaving bool
 }
 
-// Error says what the endpoint said.
+// Error implements the error interface.
 func (e *declinedError) Error() string { return "the endpoint took no new work" }
 
-// crossedError reports an answer that belongs to another request.
+// mismatchedAnswerError reports an answer that belongs to another request.
 type mismatchedAnswerError struct {
 	answered string
 }
@@ -197,7 +201,7 @@
 // Error names the other request.
 func (e *mismatchedAnswerError) Error() string { return "the endpoint answered request " + e.answered }
 
-// statusError reports an answer that another endpoint may do better.
+// retryableStatusError reports a status after which another endpoint may succeed.
 type retryableStatusError struct {
 	status int
 }
@@ -207,7 +211,7 @@
 	return "the endpoint answered " + fasthttp.StatusMessage(e.status)
 }
 
-// attempt sends the request to the granted endpoint.
+// attempt sends the request to the assigned endpoint.
 func (j *job) attempt() (*endpoint.CheckedResponse, error) {
 	j.grants++
 	call, err := j.buildRequest()
@@ -231,7 +235,7 @@
 	return answer, j.lifecycle.Advance(request.Answering)
 }
 
-// inspect judges the head of an answer.
+// inspect checks the head of an answer.
 func (j *job) inspect(answer *endpoint.CheckedResponse) error {
 	header := &answer.Response.Header
 	echoed := header.Peek(request.IDHeader)
@@ -252,7 +256,7 @@
 // maxAttempts bounds the endpoints that one request is sent to.
 const maxAttempts = 3
 
-// maxTries bounds the endpoints that one request is granted, reached or not.
+// maxGrants bounds the endpoints that one request is granted, reached or not.
 const maxGrants = 8
 
 func retryableStatus(status int) bool {
@@ -263,8 +267,8 @@
 	return false
 }
 
-// afterFailure settles a failed attempt and puts the request back in line if
-// that is safe. Otherwise it returns the final answer.
+// handleFailure records a failed attempt and requeues the request if that is safe.
+// Otherwise it returns the refusal.
 func (j *job) handleFailure(err error) *request.Refusal {
 	var declined *declinedError
 	var dial *endpoint.DialError
@@ -294,9 +298,9 @@
 	}
 }
 
-// backInLine queues the request for another attempt. It is free of the budget if
-// the endpoint ran nothing or was left while the request waited there; any
-// other failure costs.
+// requeue queues the request for another attempt. It is exempt from the retry
+// budget if the endpoint could not be reached, ran nothing, or was left while the
+// request waited there; any other failure takes a retry from the budget.
 func (j *job) requeue(budgetExempt bool) bool {
 	if j.lifecycle.Attempts() >= maxAttempts || j.grants >= maxGrants {
 		return false
--- a/pkg/router/model.go
+++ b/pkg/router/model.go
@@ -54,8 +54,9 @@
 	return j.answerModel(call)
 }
 
-// answerModel passes an engine's answer on. Until its first event nothing has
-// been delivered, so a broken answer may still be had from another engine.
+// answerModel relays an engine's answer. Nothing is delivered before its first
+// event, so an answer that breaks off earlier may still be obtained from another
+// engine.
 func (j *job) answerModel(call *endpoint.ModelCall) *request.Refusal {
 	if refusal := j.pool.Submit(j.ticket); refusal != nil {
 		return refusal
@@ -84,7 +85,7 @@
 	}
 }
 
-// answerWhole passes on an answer that came in one piece.
+// relayWhole relays an answer that is not streamed.
 func (j *job) relayWhole(answer *endpoint.CheckedResponse) error {
 	body, err := answer.ReadAll(j.router.Box.Limits.AnswerBytes)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// answerStream hands the stream to the server, which reads it event by event.
+// relayStream passes the stream to the server, which reads it event by event.
 func (j *job) relayStream(answer *endpoint.CheckedResponse, keepUsage bool) error {
 	events := &endpoint.EventStream{Source: answer, KeepUsage: keepUsage}
 	events.Count = func(tokens int) { j.pool.Stream(j.ticket, float64(tokens)) }
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// finish settles the request as answered.
+// finish records that the request was answered.
 func (j *job) finish(outcome pool.Answered) {
 	j.pool.Finish(j.ticket, outcome)
 	// An answering request can always be settled.
@@ -129,22 +130,23 @@
 	j.recordLatency(&j.router.Metrics.Total)
 }
 
-// body is an answer on its way to the caller. Its Close settles the request.
+// body is an answer that is being relayed to the caller. Closing it records the
+// outcome of the request.
 type body struct {
 	job    *job
 	answer *endpoint.CheckedResponse
-	// whole is set once the end was passed on.
+	// complete is set once the end of the answer was relayed.
 	complete bool
 	closed   bool
 }
 
-// allowWrite gives a slow caller its time for the next piece.
+// extendWriteDeadline gives a slow caller the write timeout for the next piece.
 func (b *body) extendWriteDeadline() error {
 	timeout := b.job.router.Box.Limits.WriteTimeout.Duration
 	return b.job.ctx.Conn().SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// close ends the exchange with the endpoint, whole or cut.
+// close ends the exchange with the endpoint, whether the answer is complete or cut.
 func (b *body) close(outcome pool.Answered) error {
 	if b.closed {
 		return nil
@@ -166,14 +168,14 @@
 	return err
 }
 
-// eventBody is an engine's stream on its way to the caller.
+// eventBody is an engine's event stream that is being relayed to the caller.
 type eventBody struct {
 	body
 	events *endpoint.EventStream
 }
 
-// Read passes on the next events. An error other than io.EOF makes the server
-// close the connection without a clean end, so that the caller sees the cut.
+// Read returns the next events. After an error other than io.EOF the server closes
+// the connection without a clean end, so that the caller can detect the cut.
 func (b *eventBody) Read(p []byte) (n int, err error) {
 	n, err = b.events.Read(p)
 	b.complete = isEOF(err)
@@ -183,7 +185,7 @@
 	return n, b.extendWriteDeadline()
 }
 
-// Close settles the request at its true cost.
+// Close records the outcome of the request, with its actual cost.
 func (b *eventBody) Close() error {
 	return b.close(pool.Answered{
 		InputTokens:  float64(b.events.Usage.PromptTokens),
--- a/pkg/router/operator.go
+++ b/pkg/router/operator.go
@@ -11,7 +11,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Status is what /status tells operators of one box.
+// Status is the answer to /status, for operators.
 type Status struct {
 	Box         string
 	Zone        string
@@ -19,7 +19,7 @@
 	Revision    uint64
 	// InForceSince is when this box put the revision into force.
 	InForceSince time.Time
-	// Platform is how this box reaches the platform, for operators' commands.
+	// Platform is how this box accesses the platform, for operators' commands.
 	Platform settings.Platform
 	Stopping bool
 	InFlight int64
@@ -61,7 +61,7 @@
 	}
 }
 
-// serveReady tells the balancer whether to send callers here, and why not.
+// serveReady reports to the balancer whether to send callers here, and why not.
 func (r *Router) serveReady(ctx *fasthttp.RequestCtx) {
 	switch {
 	case r.stopping.Load():
@@ -75,15 +75,15 @@
 	}
 }
 
-// serveLook looks at the accepted settings at once, as an operator who has just
-// had some accepted asks for.
+// serveCheckHead checks for accepted settings at once, for an operator who has just
+// had some accepted.
 func (r *Router) serveCheckHead(ctx *fasthttp.RequestCtx) {
 	if err := r.checkHead(); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// serveDrain begins a planned stop, as SIGTERM does.
+// serveDrain starts a planned stop, as SIGTERM does.
 func (r *Router) serveDrain(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
 		ctx.Error("a planned stop is asked for by POST", fasthttp.StatusMethodNotAllowed)
@@ -92,7 +92,7 @@
 	r.stopOnce.Do(func() { close(r.stopRequested) })
 }
 
-// inForceSince is when the settings came into force; zero when there are none.
+// inForceSince returns when the settings came into force; zero when there are none.
 func (r *Router) inForceSince() time.Time {
 	if current := r.current.Load(); current != nil {
 		return current.since
--- a/pkg/router/plain.go
+++ b/pkg/router/plain.go
@@ -45,7 +45,7 @@
 	return j.answerClaimed(key)
 }
 
-// answerPlain passes a plain service's answer on as it comes.
+// answerPlain relays a plain service's answer as it arrives.
 func (j *job) answerPlain() *request.Refusal {
 	if refusal := j.pool.Submit(j.ticket); refusal != nil {
 		return refusal
@@ -57,7 +57,7 @@
 	return j.relay(answer)
 }
 
-// passOn hands an answer to the server, which reads it piece by piece.
+// relay passes an answer to the server, which reads it piece by piece.
 func (j *job) relay(answer *endpoint.CheckedResponse) *request.Refusal {
 	j.pool.Begin(j.ticket)
 	j.copyHeader(answer)
@@ -73,13 +73,13 @@
 	return nil
 }
 
-// plainBody is a plain service's answer on its way to the caller.
+// plainBody is a plain service's answer that is being relayed to the caller.
 type plainBody struct {
 	body
 }
 
-// Read passes on the next piece. An error other than io.EOF makes the server
-// close the connection without a clean end, so that the caller sees the cut.
+// Read returns the next piece. After an error other than io.EOF the server closes
+// the connection without a clean end, so that the caller can detect the cut.
 func (b *plainBody) Read(p []byte) (n int, err error) {
 	n, err = b.answer.Read(p)
 	b.complete = isEOF(err)
@@ -89,7 +89,7 @@
 	return n, b.extendWriteDeadline()
 }
 
-// Close settles the request.
+// Close records the outcome of the request.
 func (b *plainBody) Close() error {
 	return b.close(pool.Answered{})
 }
@@ -98,8 +98,8 @@
 	return err == io.EOF
 }
 
-// answerClaimed serves a call that must run at most once and carries a key: it
-// is claimed before the first byte leaves, and its outcome is kept.
+// answerClaimed serves a call that must run at most once and carries an idempotency
+// key. The key is claimed before the first byte is sent, and the outcome is stored.
 func (j *job) answerClaimed(key string) *request.Refusal {
 	ctx, cancel := context.WithDeadline(context.Background(), j.deadline)
 	defer cancel()
@@ -137,7 +137,7 @@
 	}
 }
 
-// digest tells this request from others under the same key.
+// digest distinguishes this request from others with the same key.
 func (j *job) digest() string {
 	digest := sha256.New()
 	for _, part := range [][]byte{j.ctx.Method(), j.ctx.RequestURI(), j.ctx.PostBody()} {
@@ -194,8 +194,8 @@
 	response.SetBody(outcome.Body)
 }
 
-// forward copies a caller's request for an endpoint. The customer's key stays
-// here, and so do the headers that concern one connection only.
+// newForwardRequest copies a caller's request for an endpoint, without the
+// customer's key and the hop-by-hop headers.
 func (j *job) newForwardRequest() *fasthttp.Request {
 	call := &fasthttp.Request{}
 	j.ctx.Request.Header.CopyTo(&call.Header)
@@ -214,7 +214,7 @@
 	return call
 }
 
-// copyHead starts the caller's answer with the endpoint's status and headers.
+// copyHeader starts the caller's answer with the endpoint's status and headers.
 func (j *job) copyHeader(answer *endpoint.CheckedResponse) {
 	response := &j.ctx.Response
 	closing := response.ConnectionClose()
@@ -231,7 +231,7 @@
 	response.Header.Set(request.IDHeader, j.id)
 }
 
-// hopHeaders concern one connection and are not passed on.
+// hopByHopHeaders apply to one connection and are not forwarded.
 var hopByHopHeaders = []string{
 	fasthttp.HeaderConnection,
 	fasthttp.HeaderKeepAlive,
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -1,5 +1,5 @@
-// Package router is the process that serves callers: it identifies customers,
-// queues their requests, sends them to endpoints and passes answers back.
+// Package router serves callers: it identifies customers, queues their requests,
+// sends them to endpoints and relays the answers.
 package router
 
 import (
@@ -29,13 +29,13 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Router is one box of the fleet. Its exported fields are set before Run.
+// Router is the router of one box. Its exported fields are set before Run.
 type Router struct {
-	// Box is the box's own settings.
+	// Box is the settings of this box.
 	Box settings.Box
-	// Initial is the fleet's settings to start from; nil means none.
+	// Initial is the fleet's initial settings; nil means none.
 	Initial *settings.Fleet
-	// Metrics are counted into; the program publishes them.
+	// Metrics are updated by the router; the program publishes them.
 	Metrics *record.Metrics
 
 	logs        logflags.Logs
@@ -49,24 +49,25 @@
 	// stopping is set once a planned stop began; it is never cleared.
 	stopping atomic.Bool
 	inFlight atomic.Int64
-	// stopAsked is closed once an operator asks for a planned stop.
+	// stopRequested is closed once an operator requests a planned stop.
 	stopRequested chan struct{}
 	stopOnce      sync.Once
 
 	mu      sync.Mutex
 	pools   map[string]*pool.Pool
 	clients map[string]*endpoint.Client
-	// listed are the addresses that the box list shows as leaving.
+	// leavingAddresses are the addresses of the endpoints that the box list shows
+	// as leaving.
 	leavingAddresses map[string]bool
 }
 
-// listeners are the sockets of one box.
+// listeners are the listening sockets of one box.
 type listeners struct {
 	caller, operator, peer net.Listener
 }
 
-// Run serves until the context ends, and then stops as planned: it takes no
-// new work, finishes what is in flight, and says what is left at the limit.
+// Run serves until the context ends, and then makes a planned stop: it takes no new
+// work, finishes what is in flight, and logs how much is left at the time limit.
 func (r *Router) Run(ctx context.Context) (err error) {
 	defer func() { err = trace.Wrap(err, "running box %s", r.Box.Name) }()
 	if err := r.prepare(); err != nil {
@@ -76,7 +77,8 @@
 	if err != nil {
 		return err
 	}
-	// The work behind callers outlives the context by the time of a drain.
+	// The goroutines that serving callers depends on outlive ctx by the time of a
+	// drain.
 	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	group, workCtx := errgroup.WithContext(workCtx)
@@ -163,7 +165,7 @@
 	return sockets, nil
 }
 
-// preparePeerTLS secures the sessions between boxes if keys are set.
+// preparePeerTLS sets up TLS between boxes if certificate files are set.
 func (r *Router) preparePeerTLS() (err error) {
 	files := r.Box.TLS
 	if files.PeerCertificateFile == "" {
@@ -174,7 +176,7 @@
 	return err
 }
 
-// callerServer is the library's server with every bound of the settings.
+// callerServer returns the server for callers, with the limits of the settings.
 func (r *Router) callerServer() *fasthttp.Server {
 	limits := r.Box.Limits
 	return &fasthttp.Server{
@@ -195,7 +197,7 @@
 	}
 }
 
-// quietLogger passes the library's own words on at the debug level.
+// debugLogger logs the messages of the HTTP library at the debug level.
 type debugLogger struct {
 	log *zap.Logger
 }
@@ -205,8 +207,8 @@
 	l.log.Sugar().Debugf(format, args...)
 }
 
-// drain stops the box as planned. Readiness goes off at once; connections are
-// taken for a little longer, until the balancer has noticed.
+// drain makes a planned stop. The readiness check fails at once; connections are
+// accepted for a little longer, until the balancer has noticed.
 func (r *Router) drain(callers *fasthttp.Server) error {
 	r.stopping.Store(true)
 	r.exchange.SendNow()
@@ -223,14 +225,14 @@
 	return err
 }
 
-// pool returns a pool of the settings in force.
+// pool returns the named pool of the settings in force, or nil.
 func (r *Router) pool(name string) *pool.Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pools[name]
 }
 
-// poolsNow returns all pools by name.
+// allPools returns a copy of the pools by name.
 func (r *Router) allPools() map[string]*pool.Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,8 +243,8 @@
 	return pools
 }
 
-// client returns the connections to an endpoint's address. When the settings
-// change its time-outs, it begins anew; calls in flight keep the old one.
+// client returns the client of an endpoint's address. When the settings change its
+// timeouts, a new client replaces it; calls in flight keep the old one.
 func (r *Router) client(address string, rules *settings.Pool) *endpoint.Client {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,7 +266,7 @@
 	return client
 }
 
-// apply puts settings into force. What does not decode changes nothing.
+// apply puts settings into force. Settings that do not decode change nothing.
 func (r *Router) apply(revision uint64, snapshot []byte) (err error) {
 	defer func() { err = trace.Wrap(err, "applying settings revision %d", revision) }()
 	fleet, err := settings.DecodeSnapshot(snapshot)
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -24,7 +24,7 @@
 
 const testKey = "a-key"
 
-// freeAddress takes a listener's address and frees its port again.
+// freeAddress returns the address of a listener that is closed again.
 func freeAddress(tb testing.TB) string {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 	return listener.Addr().String()
 }
 
-// withRouter runs a router before one plain endpoint and one model endpoint.
+// withRouter runs a router in front of one plain endpoint and one model endpoint.
 func withRouter(tb testing.TB, handler fasthttp.RequestHandler, test func(address string)) {
 	tb.Helper()
 	group := &errgroup.Group{}
@@ -102,7 +102,7 @@
 	tb.Fatal("the router did not become ready")
 }
 
-// exchange writes raw bytes and returns the status line, or what went wrong.
+// exchange sends raw bytes and returns the status line, or the error.
 func exchange(address, raw string) string {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -119,8 +119,8 @@
 	return strings.TrimSpace(line)
 }
 
-// TestHostileCallers sends what is no proper request. Each gets an answer or a
-// close, and the router serves on.
+// TestHostileCallers sends malformed requests. Each gets an answer or a closed
+// connection, and the router continues to serve.
 func TestHostileCallers(t *testing.T) {
 	authorised := "Host: a\r\nAuthorization: Bearer " + testKey + "\r\n"
 	cases := []struct {
@@ -158,7 +158,7 @@
 	})
 }
 
-// TestEndpointsThatAnswerBadly checks that no bad answer passes as whole.
+// TestEndpointsThatAnswerBadly checks that no faulty answer is relayed as complete.
 func TestEndpointsThatAnswerBadly(t *testing.T) {
 	// The standard library's client does not repeat a call on a new connection.
 	get := func(address string) (status int, run string, err error) {
@@ -213,8 +213,8 @@
 	})
 }
 
-// BenchmarkOverhead compares a call through the router with a direct one, in
-// turn, and reports the difference of the two means.
+// BenchmarkOverhead alternates calls through the router with direct ones, and
+// reports the difference and the ratio of their p50 and p99 latencies.
 func BenchmarkOverhead(b *testing.B) {
 	group := &errgroup.Group{}
 	handler := func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("fine") }
@@ -252,8 +252,8 @@
 	b.ReportMetric(at(routed)/at(direct), "ratio-"+name)
 }
 
-// BenchmarkThroughput drives the router from many callers at once. The callers
-// and the endpoint share the machine with it.
+// BenchmarkThroughput calls the router from many callers at once. The callers and
+// the endpoint share the machine with it.
 func BenchmarkThroughput(b *testing.B) {
 	withRouter(b, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("fine") }, func(routed string) {
 		b.SetParallelism(8)
--- a/pkg/router/view.go
+++ b/pkg/router/view.go
@@ -13,8 +13,8 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// view is the settings in force, ready for look-ups. It is replaced whole and
-// never changed, so a request keeps the view it began with.
+// view holds the settings in force, indexed for look-ups. It is replaced whole and
+// never modified, so a request keeps the view it began with.
 type view struct {
 	revision uint64
 	snapshot []byte
@@ -27,7 +27,7 @@
 	models map[string]string
 	// paths are the path prefixes of plain pools, longest first.
 	paths []pathRule
-	// classes are the quick classes' names and limits, tightest limit first.
+	// classes are the classes' names and limits, lowest limit first.
 	classes []classRule
 }
 
@@ -46,10 +46,10 @@
 	settings.Class
 }
 
-// defaultClass is the class of a request that falls in no other.
+// defaultClass is the class of a request that no other class applies to.
 const defaultClass = "default"
 
-// newView makes look-ups of checked settings.
+// newView builds the look-ups from checked settings.
 func newView(revision uint64, snapshot []byte, fleet *settings.Fleet) *view {
 	v := &view{
 		revision: revision,
@@ -62,7 +62,7 @@
 	for name, customer := range fleet.Customers {
 		for _, text := range customer.KeyHashes {
 			var hash [sha256.Size]byte
-			// The settings' check has proved that the text is such a hash.
+			// The check of the settings has verified that the text is a hash.
 			_, _ = hex.Decode(hash[:], []byte(text))
 			v.keys[hash] = keyEntry{hash: hash, customer: name}
 		}
@@ -87,12 +87,12 @@
 
 var bearerPrefix = []byte("Bearer ")
 
-// identify finds the customer of an Authorization header.
+// identify returns the customer whose key is in an Authorization header.
 func (v *view) identify(header []byte) (string, *request.Refusal) {
 	key, found := bytes.CutPrefix(header, bearerPrefix)
 	if found {
-		// The look-up works on a SHA-256 hash, whose time tells nothing of the
-		// key; the comparison within it is of constant time all the same.
+		// The look-up uses a SHA-256 hash, so its timing reveals nothing about the
+		// key; the comparison takes constant time nevertheless.
 		hash := sha256.Sum256(bytes.TrimSpace(key))
 		if entry, ok := v.keys[hash]; ok && subtle.ConstantTimeCompare(entry.hash[:], hash[:]) == 1 {
 			return entry.customer, nil
@@ -105,7 +105,7 @@
 	}
 }
 
-// poolOfPath finds the plain pool of a path.
+// poolForPath returns the plain pool of a path.
 func (v *view) poolForPath(path string) (string, bool) {
 	for _, rule := range v.paths {
 		if strings.HasPrefix(path, rule.prefix) {
@@ -115,7 +115,7 @@
 	return "", false
 }
 
-// allowed tells whether a customer may use a pool.
+// canUsePool reports whether a customer may use a pool.
 func (v *view) canUsePool(customer, pool string) bool {
 	pools := v.fleet.Customers[customer].Pools
 	if len(pools) == 0 {
@@ -129,8 +129,8 @@
 	return false
 }
 
-// classify finds the class of a request: the one it names, or the tightest one
-// whose limit its own output limit is within.
+// classify returns the class of a request: the one it names, or the one with the
+// lowest limit that its own output limit does not exceed.
 func (v *view) classify(className string, maxOutputTokens int) (name string, quick bool) {
 	if class, ok := v.fleet.Classes[className]; ok {
 		return className, class.Quick
@@ -143,7 +143,7 @@
 	return defaultClass, false
 }
 
-// mayRepeat tells whether a call to a plain pool may be sent more than once.
+// isRepeatable reports whether a call to a plain pool may be sent more than once.
 func isRepeatable(rules *settings.Pool, method, path string) bool {
 	for _, rule := range rules.NotRepeatable {
 		ruleMethod, prefix, _ := strings.Cut(rule, " ")
