--- a/pkg/logflags/buffer.go
+++ b/pkg/logflags/buffer.go
@@ -11,29 +11,29 @@
 	"github.com/quaylead/quaylead/pkg/interval"
 )
 
-// Buffer takes log lines without ever waiting for whoever reads them. Lines that
-// find it full are dropped whole and counted. Its exported fields are set before
-// the first line.
+// Buffer collects log lines so that a slow reader of the log never delays their
+// writers. Lines that do not fit are dropped whole and counted. Its exported fields
+// are set before the first line.
 type Buffer struct {
-	// Out is where the lines go.
+	// Out receives the lines.
 	Out io.Writer
 
 	dropped atomic.Int64
 	mu      sync.Mutex
 	pending bytes.Buffer
-	// writing serializes writes to Out.
+	// writeMu serializes writes to Out.
 	writeMu sync.Mutex
 }
 
 const (
-	// bufferBytes bounds the lines that wait to be written: some seconds of a
+	// maxBufferBytes bounds the lines that wait to be written: some seconds of a
 	// busy box.
 	maxBufferBytes = 1 << 20
 	// flushInterval is the time between two writes; each costs a system call.
 	flushInterval = 100 * time.Millisecond
 )
 
-// Write takes one line.
+// Write adds one line to the buffer.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +44,7 @@
 	return b.pending.Write(line)
 }
 
-// Sync writes what is held.
+// Sync writes the buffered lines to Out.
 func (b *Buffer) Sync() error {
 	b.writeMu.Lock()
 	defer b.writeMu.Unlock()
@@ -59,11 +59,11 @@
 	return err
 }
 
-// Dropped counts the lines that found the buffer full.
+// Dropped returns the number of lines that were dropped because the buffer was full.
 func (b *Buffer) Dropped() int64 { return b.dropped.Load() }
 
-// Run writes what is held from time to time until the context ends, and once
-// more then. A reader that went away ends only the logging.
+// Run writes the buffered lines at intervals until the context ends, and once more
+// then. If Out fails, as when its reader went away, only the logging ends.
 func (b *Buffer) Run(ctx context.Context) error {
 	for interval.Wait(ctx, flushInterval) == nil {
 		if err := b.Sync(); err != nil {
--- a/pkg/logflags/logflags.go
+++ b/pkg/logflags/logflags.go
@@ -1,5 +1,5 @@
-// Package logflags makes the loggers, one category for each layer. Every event
-// is one line of key=value pairs.
+// Package logflags creates the loggers, one for each category. Every event is one
+// line of key=value pairs.
 package logflags
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Category is a layer whose events can be switched on by themselves.
+// Category is a layer of the software whose debug events can be enabled separately.
 type Category string
 
 // The categories.
@@ -27,20 +27,21 @@
 	Box      Category = "box"
 )
 
-// Logs makes loggers by what the settings select.
+// Logs creates loggers according to the settings.
 type Logs struct {
 	Settings settings.Log
-	// Buffer takes the lines; nil means standard error, unbuffered.
+	// Buffer receives the lines; nil means standard error, unbuffered.
 	Buffer *Buffer
 
-	// made are the loggers by category; nil makes one at each call.
+	// loggers holds the loggers by category; nil means that For creates one at
+	// each call.
 	loggers map[Category]*zap.Logger
 }
 
-// Categories are all layers.
+// Categories lists all categories.
 var Categories = []Category{Caller, Pool, Rollout, Peer, Platform, Settings, Box}
 
-// Prepared returns logs whose loggers are made once.
+// Cached returns logs whose loggers are created once.
 func (l Logs) Cached() Logs {
 	loggers := map[Category]*zap.Logger{}
 	for _, category := range Categories {
@@ -50,7 +51,7 @@
 	return l
 }
 
-// Dropped counts the lines that were dropped because nobody read them.
+// Dropped returns the number of lines that were dropped because the buffer was full.
 func (l Logs) Dropped() int64 {
 	if l.Buffer == nil {
 		return 0
--- a/pkg/loss/line.go
+++ b/pkg/loss/line.go
@@ -1,5 +1,5 @@
-// Package loss reads boxes' logs and tells which requests were not served as their
-// callers wanted, and why.
+// Package loss reads the logs of boxes and reports which requests were not served as
+// their callers wanted, and why.
 package loss
 
 import (
@@ -14,24 +14,24 @@
 
 // Line is one line of a box's log.
 type Line struct {
-	// Box is where it was written, as far as is known.
+	// Box is the box that wrote the line, as far as is known.
 	Box  string
 	Time time.Time
-	// Text is the line as it was found.
+	// Text is the line from its time on.
 	Text string
-	// Fields are by name; of a name that is there twice, the first.
+	// Fields are the fields by name. If a name is repeated, its first value counts.
 	Fields map[string]string
 }
 
-// timeField is the first of each line; what stands before it is not the box's.
+// timeField is the first field of each line; the box did not write what precedes it.
 const timeField = "Time="
 
 var errNoTime = errors.New("the line has no time")
 
-// mostLine bounds the length of a line.
+// maxLineBytes bounds the length of a line.
 const maxLineBytes = 1 << 20
 
-// Read calls take with each line of a log. It counts the lines that are none.
+// Read calls handle with each line of a log. It returns the number of malformed lines.
 func Read(in io.Reader, box string, handle func(Line)) (malformed int, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -68,7 +68,7 @@
 	return line, err
 }
 
-// duration is a field's; 0 where it is none.
+// duration returns a field as a duration; 0 if it is missing or malformed.
 func (l *Line) duration(field string) time.Duration {
 	length, err := time.ParseDuration(l.Fields[field])
 	if err != nil {
--- a/pkg/loss/loss.go
+++ b/pkg/loss/loss.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Outcome is what became of a request that was not served as its caller wanted.
+// Outcome classifies a request that was not served as its caller wanted.
 type Outcome string
 
 const (
-	// Refused requests did not run, and were told when to come back.
+	// Refused requests did not run, and their callers were told when to retry.
 	Refused Outcome = "refused"
-	// Failed requests ended with an error, of ours or of an endpoint's own.
+	// Failed requests ended with an error of the router or of an endpoint.
 	Failed Outcome = "failed"
-	// Cut answers ended before their time.
+	// Cut answers ended before they were complete.
 	Cut Outcome = "cut"
-	// Late answers were whole, and later than their route aims for.
+	// Late answers were complete, but missed their route's latency target.
 	Late Outcome = "late"
 )
 
-// Loss is one such request.
+// Loss is one request that was not served as its caller wanted.
 type Loss struct {
 	Outcome
 	Request  string
@@ -28,14 +28,14 @@
 	Endpoint string
 	Box      string
 	Time     time.Time
-	// Cause is what the deciding line states; UnknownCause where it does not.
+	// Cause is the cause that the log line states, or UnknownCause.
 	Cause string
 }
 
-// UnknownCause marks losses whose line does not say why.
+// UnknownCause is the cause of losses whose log line states none.
 const UnknownCause = "cause unknown"
 
-// The events of a log that end a request otherwise than well.
+// The log events that may report a loss.
 const (
 	eventRefused       = "request refused"
 	eventCut           = "stream cut"
@@ -43,11 +43,11 @@
 	eventEndpointError = "endpoint's error passed on"
 )
 
-// statusUnavailable and its like promise that the request did not run.
+// refusalStatuses are the HTTP statuses that promise that the request did not run.
 var refusalStatuses = map[string]bool{"408": true, "421": true, "429": true, "503": true}
 
-// Of tells what a line says of the end of a request; false where it says nothing, or
-// that it was served well.
+// Classify returns the loss that a line reports. It returns false if the line reports
+// none, as for a request that was served well.
 func Classify(line *Line) (loss Loss, ok bool) {
 	f := line.Fields
 	loss = Loss{
@@ -105,7 +105,8 @@
 	}
 }
 
-// lastPart is what an error wraps innermost, as the rest names addresses.
+// innermostError returns the innermost of wrapped errors; the outer ones contain
+// addresses, which would split up a cause.
 func innermostError(text string) string {
 	if at := strings.LastIndex(text, ": "); at >= 0 {
 		return text[at+2:]
@@ -113,7 +114,7 @@
 	return text
 }
 
-// lateCause tells which part of a late answer took longest.
+// lateCause determines which part of a late answer took longest.
 func lateCause(line *Line) string {
 	first, granted := line.duration("FirstAfter"), line.duration("GrantedAfter")
 	predicted := line.duration("Wait") + line.duration("Read")
--- a/pkg/loss/loss_test.go
+++ b/pkg/loss/loss_test.go
@@ -20,7 +20,7 @@
 `
 
 func TestLosses(t *testing.T) {
-	Convey("Each request that was not served well is found with its cause, and nothing else", t, func() {
+	Convey("Each request that was not served well is reported with its cause, and no other", t, func() {
 		report := &Report{}
 		malformed, err := Read(strings.NewReader(log), "box-1", report.Add)
 		So(err, ShouldBeNil)
@@ -46,7 +46,7 @@
 		So(out.String(), ShouldContainSubstring, "7 requests")
 		So(out.String(), ShouldContainSubstring, "camp")
 	})
-	Convey("Nothing lost is no error", t, func() {
+	Convey("A report without losses is no error", t, func() {
 		out := &strings.Builder{}
 		So((&Report{}).Write(out, 10), ShouldBeNil)
 		So(out.String(), ShouldStartWith, "0 requests")
--- a/pkg/loss/report.go
+++ b/pkg/loss/report.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Report gathers losses.
+// Report collects losses and prints tables of them.
 type Report struct {
 	losses []Loss
-	// first is the earliest line of any kind; seconds count from it.
+	// earliest is the time of the earliest line of any kind; seconds count from it.
 	earliest time.Time
 }
 
-// Add takes a line.
+// Add adds the loss that a line reports, if any.
 func (r *Report) Add(line Line) {
 	if r.earliest.IsZero() || line.Time.Before(r.earliest) {
 		r.earliest = line.Time
@@ -26,7 +26,7 @@
 	}
 }
 
-// Unknown is the part of the losses without a cause.
+// UnknownFraction returns the fraction of the losses without a known cause.
 func (r *Report) UnknownFraction() float64 {
 	if len(r.losses) == 0 {
 		return 0
@@ -40,7 +40,7 @@
 	return float64(unknown) / float64(len(r.losses))
 }
 
-// grouping is one of the tables of a report.
+// grouping is one table of a report.
 type grouping struct {
 	title string
 	key   func(*Loss) string
@@ -58,7 +58,7 @@
 	}
 }
 
-// count is one row of a table.
+// tableRow is one row of a table.
 type tableRow struct {
 	key       string
 	total     int
@@ -67,7 +67,7 @@
 
 var outcomes = []Outcome{Refused, Late, Cut, Failed}
 
-// Write prints the tables: of each grouping at most so many rows, the largest first.
+// Write prints the tables, each with at most maxRows rows, the largest first.
 func (r *Report) Write(out io.Writer, maxRows int) error {
 	fmt.Fprintf(out, "%d requests were refused, late, cut or failed; of %.1f in 100 the cause is unknown\n", len(r.losses), 100*r.UnknownFraction())
 	for _, by := range r.groupings() {
--- a/pkg/loss/shares.go
+++ b/pkg/loss/shares.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// eventService is the line that boxes write about a customer's second.
+// eventService is the event that boxes log about a customer's service in one second.
 const eventService = "customer's service"
 
-// sharesColumns are the amounts of that line in the order of a request's way; all are
-// tokens, and sums of what several boxes tell.
+// sharesColumns are the amounts of that line in the order in which they apply to a
+// request. All are tokens, and sums over the boxes that report.
 var sharesColumns = []string{
 	"Asked", "TurnedShare", "TurnedBusy", "Hopeless", "Turned", "Withdrawn", "Granted", "GivenBack", "Begun", "Answered",
 }
 
-// Shares gathers what customers asked for and got, by second.
+// Shares collects what customers requested and were granted, by second.
 type Shares struct {
-	// Customers are shown; all when it is empty.
+	// Customers are the customers to include; empty means all.
 	Customers []string
 
 	rows map[sharesKey]*sharesRow
-	// first is the earliest line of any kind; seconds count from it.
+	// earliest is the time of the earliest line of any kind; seconds count from it.
 	earliest time.Time
 }
 
-// sharesKey is one customer's second. It is counted from the epoch, as the earliest line
-// may be read last.
+// sharesKey identifies one customer's second. The second counts from the Unix epoch,
+// because the earliest line may be read last.
 type sharesKey struct {
 	second   int64
 	customer string
@@ -40,12 +40,12 @@
 type sharesRow struct {
 	sharesKey
 	amounts map[string]int64
-	// deciders are the boxes that granted something, and turners those that refused
-	// something without asking.
+	// grantedBy are the boxes that granted something, and refusedBy those that refused
+	// something without asking the box that decides.
 	grantedBy, refusedBy []string
 }
 
-// Add takes a line.
+// Add adds the amounts that a line reports, if any.
 func (s *Shares) Add(line Line) {
 	if s.earliest.IsZero() || line.Time.Before(s.earliest) {
 		s.earliest = line.Time
@@ -85,7 +85,7 @@
 	return append(names, name)
 }
 
-// amount is a field's whole number; 0 where it is none.
+// amount returns a field as a whole number; 0 if it is missing or malformed.
 func (l *Line) amount(field string) int64 {
 	amount, err := strconv.ParseInt(l.Fields[field], 10, 64)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return amount
 }
 
-// kilo is the unit of the table: a large customer asks for millions of tokens a second.
+// kilo is the unit of the table: a large customer requests millions of tokens a second.
 const kilo = 1000
 
 // Write prints a row for each customer and second, in thousands of tokens.
@@ -119,7 +119,7 @@
 	return table.Flush()
 }
 
-// boxes names a few boxes, and counts many.
+// formatBoxes names a few boxes and counts many.
 func formatBoxes(names []string) string {
 	const maxNamed = 3
 	switch {
--- a/pkg/loss/shares_test.go
+++ b/pkg/loss/shares_test.go
@@ -26,7 +26,7 @@
 		So(shares.Write(out), ShouldBeNil)
 		return out.String()
 	}
-	Convey("What several boxes tell of a customer's second is one row, with who decided", t, func() {
+	Convey("What several boxes report of a customer's second is one row, with the boxes that decided", t, func() {
 		rows := strings.Split(strings.TrimSpace(read(&Shares{})), "\n")
 		So(rows, ShouldHaveLength, 4)
 		So(strings.Fields(rows[2]), ShouldResemble, strings.Fields("2 camp 9000 1000 0 8000 0 0 1000 0 0 0 box-1 box-1"))
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -11,33 +11,34 @@
 )
 
 // The range and precision of the histograms: a tenth of a millisecond to ten
-// minutes, two digits. One takes about 16 KB, and only pairs that occur have one.
+// minutes, two significant digits. A histogram takes about 16 KB; only pairs of
+// customer and class that occur have one.
 const (
 	resolution        = 100 * time.Microsecond
 	maxValue          = int64(10 * time.Minute / resolution)
 	significantDigits = 2
 )
 
-// Key names a histogram.
+// Key identifies a histogram.
 type Key struct {
 	Customer string
 	Class    string
 }
 
-// Summary is a histogram as operators see it.
+// Summary is a histogram as it is published.
 type Summary struct {
 	Count         int64
 	P50, P95, P99 time.Duration
 	Max           time.Duration
 }
 
-// Latencies are histograms by customer and class. It is safe for concurrent use.
+// Latencies holds histograms by customer and class. It is safe for concurrent use.
 type Latencies struct {
 	mu         sync.Mutex
 	histograms map[Key]*hdrhistogram.Histogram
 }
 
-// Add counts one latency.
+// Add records one latency.
 func (l *Latencies) Add(key Key, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +55,7 @@
 	_ = histogram.RecordValue(value)
 }
 
-// Summaries gives all histograms by "customer/class".
+// Summaries returns a summary of each histogram, by "customer/class".
 func (l *Latencies) Summaries() map[string]Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	return summaries
 }
 
-// Metrics are what one router publishes.
+// Metrics are the metrics that one router publishes.
 type Metrics struct {
 	// FirstToken is the time from a request's arrival to its first token.
 	FirstToken Latencies
@@ -81,14 +82,14 @@
 	Refusals expvar.Map
 	// Answers counts whole answers by pool.
 	Answers expvar.Map
-	// Cut counts answers that were passed on visibly cut, by pool.
+	// Cut counts answers that broke off, visibly to the caller, by pool.
 	Cut expvar.Map
 	// Retries counts attempts after the first, by pool.
 	Retries expvar.Map
 }
 
-// Publish puts the metrics under their expvar names. It may be called once in
-// a process.
+// Publish registers the metrics under their expvar names. It may be called once in a
+// process.
 func (m *Metrics) Publish() {
 	expvar.Publish("FirstToken", expvar.Func(func() any { return m.FirstToken.Summaries() }))
 	expvar.Publish("Total", expvar.Func(func() any { return m.Total.Summaries() }))
