--- a/pkg/pool/queue.go
+++ b/pkg/pool/queue.go
@@ -36,7 +36,7 @@
 	// initialOutputEstimate is the assumed output of a class of which no request
 	// has finished yet.
 	initialOutputEstimate = 128
-	// learnRate is the weight of the newest request in moving means.
+	// smoothingFactor is the weight of the newest request in moving means.
 	smoothingFactor = 0.2
 	// minRetryAfter and maxRetryAfter bound the retry advice of a refusal.
 	minRetryAfter = time.Second
--- a/pkg/router/job.go
+++ b/pkg/router/job.go
@@ -126,7 +126,7 @@
 // awaitGrant waits for an endpoint with room.
 func (j *job) awaitGrant() *request.Refusal {
 	if j.lifecycle.State() < request.Queued {
-		// A received request can always be queued.
+		// The transition from received to queued never fails.
 		_ = j.lifecycle.Advance(request.Queued)
 	}
 	timer := time.NewTimer(callerCheckInterval)
--- a/pkg/router/model.go
+++ b/pkg/router/model.go
@@ -124,7 +124,7 @@
 // finish records that the request was answered.
 func (j *job) finish(outcome pool.Answered) {
 	j.pool.Finish(j.ticket, outcome)
-	// An answering request can always be settled.
+	// The transition from answering to settled never fails.
 	_ = j.lifecycle.Advance(request.Settled)
 	j.router.Metrics.Answers.Add(j.poolName, 1)
 	j.recordLatency(&j.router.Metrics.Total)
--- a/pkg/router/plain.go
+++ b/pkg/router/plain.go
@@ -115,7 +115,7 @@
 	}
 	switch result := result.(type) {
 	case claim.Taken:
-		// A received request can always be claimed.
+		// The transition from received to claimed never fails.
 		_ = j.lifecycle.Advance(request.Claimed)
 		return j.sendClaimed(result.Claim)
 	case claim.Stored:
--- a/pkg/settings/fleet.go
+++ b/pkg/settings/fleet.go
@@ -74,7 +74,7 @@
 	ArrivalOrder OrderPolicy = "arrival"
 )
 
-// Pool is a group of like endpoints.
+// Pool is a group of endpoints that serve the same requests.
 type Pool struct {
 	// Kind is model or plain.
 	Kind PoolKind
