--- a/pkg/membership/churn_test.go
+++ b/pkg/membership/churn_test.go
@@ -12,15 +12,15 @@
 // churn restarts a fraction of a fleet's boxes each second. It returns the messages and rows
 // that a box sends in a second, and how long it takes until all boxes agree after the last
 // restart.
-func churn(boxes int, part float64) (messages, rows float64, agreed time.Duration) {
+func churn(boxes int, fraction float64) (messages, rows float64, agreed time.Duration) {
 	f := newFleet(boxes, zones, 11)
 	f.run(4 * time.Second)
 	const length = 2 * time.Second
 	f.messages, f.rows = 0, 0
-	each := time.Duration(float64(time.Second) / (part * float64(boxes)))
+	restartInterval := time.Duration(float64(time.Second) / (fraction * float64(boxes)))
 	nodes, next := f.shuffled(), time.Duration(0)
-	for passed := time.Duration(0); passed < length; passed += step {
-		for ; next <= passed; next += each {
+	for elapsed := time.Duration(0); elapsed < length; elapsed += step {
+		for ; next <= elapsed; next += restartInterval {
 			n := nodes[0]
 			nodes = nodes[1:]
 			f.kill(n)
@@ -36,12 +36,12 @@
 // TestChurn bounds the messages that restarts of boxes cause at the others, and the time until
 // all boxes agree.
 func TestChurn(t *testing.T) {
-	const part = 0.01
+	const fraction = 0.01
 	counts := map[int]float64{}
 	for _, boxes := range []int{300, 600} {
 		synctest.Test(t, func(t *testing.T) {
-			messages, rows, agreed := churn(boxes, part)
-			t.Logf("%d boxes, %.0f restarts per second: a box sends %.0f messages with %.0f rows per second; all agree %s after the last restart", boxes, part*float64(boxes), messages, rows, agreed)
+			messages, rows, agreed := churn(boxes, fraction)
+			t.Logf("%d boxes, %.0f restarts per second: a box sends %.0f messages with %.0f rows per second; all agree %s after the last restart", boxes, fraction*float64(boxes), messages, rows, agreed)
 			counts[boxes] = messages
 			Convey(fmt.Sprintf("All %d boxes agree within seconds", boxes), t, func() {
 				So(agreed, ShouldBeLessThan, 3*time.Second)
--- a/pkg/membership/fleet_test.go
+++ b/pkg/membership/fleet_test.go
@@ -35,7 +35,7 @@
 
 func TestSessionsAreFew(t *testing.T) {
 	inFleet(t, "Boxes of a large fleet keep few sessions, and send nothing but heartbeats while nothing changes", func(f *fleet) {
-		So(f.mostSessions(), ShouldBeLessThanOrEqualTo, 32)
+		So(f.maxSessions(), ShouldBeLessThanOrEqualTo, 32)
 		before := f.rows
 		f.run(5 * time.Second)
 		So(f.rows, ShouldEqual, before)
@@ -58,7 +58,7 @@
 				n.partition = 1
 			}
 		}
-		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, lapse+time.Second)
+		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, sessionTimeout+time.Second)
 		f.run(30 * time.Second)
 		for _, n := range f.nodes {
 			n.partition = 0
@@ -105,7 +105,7 @@
 		}
 		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, 2*time.Second)
 		f.run(2 * neighbourTTL)
-		So(f.mostSessions(), ShouldBeLessThanOrEqualTo, 32)
+		So(f.maxSessions(), ShouldBeLessThanOrEqualTo, 32)
 	})
 }
 
@@ -115,7 +115,7 @@
 		for _, n := range frozen {
 			n.frozen = true
 		}
-		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, lapse+time.Second)
+		So(f.agreeWithin(10*time.Second), ShouldBeLessThan, sessionTimeout+time.Second)
 		gone := f.shuffled()[:boxCount/10]
 		for _, n := range gone {
 			if !n.frozen {
@@ -251,19 +251,19 @@
 			So(slow.IsSettled(time.Now()), ShouldBeFalse)
 			time.Sleep(minSettleDelay + step)
 			So(slow.IsSettled(time.Now()), ShouldBeTrue)
-			unheard := 0
+			onlyListed := 0
 			slow.AddListed(peer.Sender{Box: "c", PeerAddress: "c"})
 			for _, box := range slow.Candidates(time.Now()) {
 				if !box.Alive {
-					unheard++
+					onlyListed++
 				}
 			}
-			So(unheard, ShouldEqual, 1)
-			never := &View{Self: peer.Sender{Box: "a", Incarnation: 1}}
-			never.AddListed(peer.Sender{Box: "b", PeerAddress: "b"})
-			never.SetStatus(true, false)
+			So(onlyListed, ShouldEqual, 1)
+			isolated := &View{Self: peer.Sender{Box: "a", Incarnation: 1}}
+			isolated.AddListed(peer.Sender{Box: "b", PeerAddress: "b"})
+			isolated.SetStatus(true, false)
 			time.Sleep(maxSettleDelay + step)
-			So(never.IsSettled(time.Now()), ShouldBeTrue)
+			So(isolated.IsSettled(time.Now()), ShouldBeTrue)
 		})
 	})
 }
@@ -273,19 +273,19 @@
 func TestAskedBoxes(t *testing.T) {
 	inFleet(t, "A session for requests is kept while it is wanted, and for requestedTTL after that", func(f *fleet) {
 		n := f.nodes[0]
-		asked := ""
+		requested := ""
 		for _, other := range f.nodes {
 			if _, neighbour := n.contacts[other.Self.Box]; !neighbour && other != n {
-				asked = other.Self.Box
+				requested = other.Self.Box
 			}
 		}
 		now := time.Now()
-		contact, there := n.Contacts(now, []string{asked}, nil)[asked]
-		So(there, ShouldBeTrue)
+		contact, found := n.Contacts(now, []string{requested}, nil)[requested]
+		So(found, ShouldBeTrue)
 		So(contact.ReceivesUpdates, ShouldBeFalse)
-		_, there = n.Contacts(now.Add(requestedTTL-time.Millisecond), nil, nil)[asked]
-		So(there, ShouldBeTrue)
-		_, there = n.Contacts(now.Add(requestedTTL+time.Millisecond), nil, nil)[asked]
-		So(there, ShouldBeFalse)
+		_, found = n.Contacts(now.Add(requestedTTL-time.Millisecond), nil, nil)[requested]
+		So(found, ShouldBeTrue)
+		_, found = n.Contacts(now.Add(requestedTTL+time.Millisecond), nil, nil)[requested]
+		So(found, ShouldBeFalse)
 	})
 }
--- a/pkg/membership/followers.go
+++ b/pkg/membership/followers.go
@@ -32,9 +32,9 @@
 		if row.Zone != v.Self.Zone || row.box == nil || row.box.followPosition >= own {
 			continue
 		}
-		preceding.count(row)
+		preceding.add(row)
 	}
-	return preceding.notReplaced() < followersPerZone
+	return preceding.countNotReplaced() < followersPerZone
 }
 
 // predecessors counts the boxes that rank before another one, by whether they reach the store.
@@ -45,7 +45,7 @@
 	longestLost time.Duration
 }
 
-func (p *predecessors) count(row *entry) {
+func (p *predecessors) add(row *entry) {
 	if row.StoreLost {
 		p.withoutStore++
 		p.longestLost = max(p.longestLost, time.Since(row.storeLostAt))
@@ -55,7 +55,7 @@
 }
 
 // notReplaced returns the number of boxes that are not replaced by others.
-func (p *predecessors) notReplaced() int {
+func (p *predecessors) countNotReplaced() int {
 	replaced := min(p.withoutStore, maxReplaced+int(p.longestLost/replaceInterval))
 	return p.withStore + p.withoutStore - replaced
 }
@@ -90,10 +90,10 @@
 	preceding := predecessors{}
 	for _, row := range v.accepting {
 		if row.box != nil && v.ranksBefore(row.box) {
-			preceding.count(row)
+			preceding.add(row)
 		}
 	}
-	return preceding.notReplaced()
+	return preceding.countNotReplaced()
 }
 
 // ranksBefore reports whether a box comes before this one in the order of StartRank. The lock
--- a/pkg/membership/probe_test.go
+++ b/pkg/membership/probe_test.go
@@ -19,7 +19,7 @@
 			lost := f.nodes[7]
 			f.kill(lost)
 			f.run(2 * neighbourTTL)
-			tried, maxTried := 0, 0
+			totalProbers, maxProbers := 0, 0
 			const seconds = 10
 			for range seconds {
 				f.run(probeInterval)
@@ -29,11 +29,11 @@
 						probers++
 					}
 				}
-				tried, maxTried = tried+probers, max(maxTried, probers)
+				totalProbers, maxProbers = totalProbers+probers, max(maxProbers, probers)
 			}
-			t.Logf("%d boxes probe it at a time, %d at most", tried/seconds, maxTried)
-			So(tried, ShouldBeGreaterThan, 0)
-			So(maxTried, ShouldBeLessThan, 8*probersPerBox)
+			t.Logf("%d boxes probe it at a time, %d at most", totalProbers/seconds, maxProbers)
+			So(totalProbers, ShouldBeGreaterThan, 0)
+			So(maxProbers, ShouldBeLessThan, 8*probersPerBox)
 		})
 	})
 }
--- a/pkg/membership/simulation_test.go
+++ b/pkg/membership/simulation_test.go
@@ -15,7 +15,7 @@
 	step           = 10 * time.Millisecond
 	chooseInterval = 20 * step
 	heartbeat      = 100 * step
-	lapse          = 250 * step
+	sessionTimeout = 250 * step
 	// dialTimeout is how long an attempt to open a session takes if nobody answers.
 	dialTimeout = 50 * step
 )
@@ -131,16 +131,16 @@
 				f.sendUpdates(n)
 			}
 		}
-		f.closeLapsed()
+		f.closeTimedOutSessions()
 	}
 }
 
 func (f *fleet) choose(n *node) {
-	reached := map[string]bool{}
+	connected := map[string]bool{}
 	for name := range n.open {
-		reached[name] = true
+		connected[name] = true
 	}
-	n.contacts = n.Contacts(time.Now(), nil, reached)
+	n.contacts = n.Contacts(time.Now(), nil, connected)
 	n.Refresh(time.Now())
 	for name, s := range n.open {
 		if _, wanted := n.contacts[name]; !wanted {
@@ -181,10 +181,10 @@
 }
 
 // closeLapsed closes the sessions over which nothing was received for too long.
-func (f *fleet) closeLapsed() {
+func (f *fleet) closeTimedOutSessions() {
 	for _, n := range f.nodes {
 		for _, s := range n.open {
-			if !f.connected(n, s.to) && time.Since(s.receivedAt) > lapse {
+			if !f.connected(n, s.to) && time.Since(s.receivedAt) > sessionTimeout {
 				f.close(n, s)
 			}
 		}
@@ -220,7 +220,7 @@
 	return time.Since(start)
 }
 
-func (f *fleet) mostSessions() int {
+func (f *fleet) maxSessions() int {
 	in := map[*node]int{}
 	for _, n := range f.nodes {
 		for _, s := range n.open {
--- a/pkg/partition/partition_test.go
+++ b/pkg/partition/partition_test.go
@@ -25,14 +25,14 @@
 func TestRank(t *testing.T) {
 	Convey("All boxes compute the same ranking, whatever the order of their candidates", t, func() {
 		fleet := candidatesOf(400)
-		first := Rank("llm/3", fleet[0], fleet[1:])
-		So(first, ShouldHaveLength, maxRanked)
+		ranking := Rank("llm/3", fleet[0], fleet[1:])
+		So(ranking, ShouldHaveLength, maxRanked)
 		for own := range 20 {
 			others := append(append([]membership.Candidate{}, fleet[own+1:]...), fleet[:own]...)
-			So(Rank("llm/3", fleet[own], others), ShouldResemble, first)
+			So(Rank("llm/3", fleet[own], others), ShouldResemble, ranking)
 		}
-		for i := 1; i < len(first); i++ {
-			So(first[i-1].Score, ShouldBeGreaterThanOrEqualTo, first[i].Score)
+		for i := 1; i < len(ranking); i++ {
+			So(ranking[i-1].Score, ShouldBeGreaterThanOrEqualTo, ranking[i].Score)
 		}
 	})
 }
@@ -40,32 +40,32 @@
 // TestAssignment checks that groups are distributed evenly, and that few of them move when a
 // box leaves.
 func TestAssignment(t *testing.T) {
-	of := func(fleet []membership.Candidate, groups int) []string {
+	assignmentOf := func(fleet []membership.Candidate, groups int) []string {
 		shared := Assignment{}
-		first := make([]string, groups)
-		for group := range first {
-			first[group] = shared.BoxFor("llm", group, groups, fleet[0], fleet[1:])
+		assigned := make([]string, groups)
+		for group := range assigned {
+			assigned[group] = shared.BoxFor("llm", group, groups, fleet[0], fleet[1:])
 		}
-		return first
+		return assigned
 	}
 	Convey("No box has far more groups than another, whatever the order of the candidates", t, func() {
 		fleet := candidatesOf(1000)
-		first := of(fleet, 64)
+		assigned := assignmentOf(fleet, 64)
 		count := map[string]int{}
-		for _, box := range first {
+		for _, box := range assigned {
 			count[box]++
 			So(count[box], ShouldBeLessThanOrEqualTo, 2)
 		}
 		rotated := append(append([]membership.Candidate{}, fleet[500:]...), fleet[:500]...)
-		So(of(rotated, 64), ShouldResemble, first)
+		So(assignmentOf(rotated, 64), ShouldResemble, assigned)
 	})
 	Convey("When a large box leaves, its groups move and few others", t, func() {
 		fleet := candidatesOf(1000)
-		before := of(fleet, 64)
+		before := assignmentOf(fleet, 64)
 		for gone := range 5 {
 			left := slices.DeleteFunc(slices.Clone(fleet), func(c membership.Candidate) bool { return c.Name == fleet[20*gone].Name })
 			moved := 0
-			for group, box := range of(left, 64) {
+			for group, box := range assignmentOf(left, 64) {
 				if box != before[group] && before[group] != fleet[20*gone].Name {
 					moved++
 				}
@@ -75,10 +75,10 @@
 	})
 	Convey("A small box that leaves moves nothing, and boxes with equal cores are ranked by hash alone", t, func() {
 		fleet := candidatesOf(1000)
-		So(of(slices.Delete(slices.Clone(fleet), 7, 8), 64), ShouldResemble, of(fleet, 64))
+		So(assignmentOf(slices.Delete(slices.Clone(fleet), 7, 8), 64), ShouldResemble, assignmentOf(fleet, 64))
 		for i := range fleet {
 			fleet[i].Cores = 1
 		}
-		So(of(fleet, 64)[0], ShouldBeEmpty)
+		So(assignmentOf(fleet, 64)[0], ShouldBeEmpty)
 	})
 }
--- a/pkg/partition/rank.go
+++ b/pkg/partition/rank.go
@@ -29,32 +29,32 @@
 // report theirs.
 const minCores = 0.05
 
-func boxScore(service, box uint64, cores float64) float64 {
-	return math.Log(Uniform(Hash(service, box))) / math.Pow(max(cores, minCores), coresExponent)
+func boxScore(group, box uint64, cores float64) float64 {
+	return math.Log(Uniform(Hash(group, box))) / math.Pow(max(cores, minCores), coresExponent)
 }
 
 // Rank returns the first boxes for a service, best first, with this box among them if it ranks
 // high enough. It visits each box of the fleet once.
-func Rank(service string, own membership.Candidate, others []membership.Candidate) []Ranked {
-	key := xxhash.Sum64String(service)
-	first := make([]Ranked, 0, maxRanked+1)
+func Rank(group string, own membership.Candidate, others []membership.Candidate) []Ranked {
+	key := xxhash.Sum64String(group)
+	ranking := make([]Ranked, 0, maxRanked+1)
 	insert := func(c *membership.Candidate) {
 		ranked := Ranked{Name: c.Name, Score: boxScore(key, c.Hash, c.Cores), Alive: c.Alive}
-		index := len(first)
-		for index > 0 && first[index-1].Score < ranked.Score {
+		index := len(ranking)
+		for index > 0 && ranking[index-1].Score < ranked.Score {
 			index--
 		}
 		if index == maxRanked {
 			return
 		}
-		first = append(first, Ranked{})
-		copy(first[index+1:], first[index:])
-		first[index] = ranked
-		first = first[:min(len(first), maxRanked)]
+		ranking = append(ranking, Ranked{})
+		copy(ranking[index+1:], ranking[index:])
+		ranking[index] = ranked
+		ranking = ranking[:min(len(ranking), maxRanked)]
 	}
 	insert(&own)
 	for i := range others {
 		insert(&others[i])
 	}
-	return first
+	return ranking
 }
--- a/pkg/peer/conversions.go
+++ b/pkg/peer/conversions.go
@@ -59,17 +59,17 @@
 func (e *encoder) encodePool(update *peerpb.Update, name string, pool PoolState) *peerpb.PoolUpdate {
 	last, known := e.last.Pools[name]
 	result := &peerpb.PoolUpdate{Demand: uint32(pool.Demand)}
-	for customer, now := range pool.Customers {
+	for customer, current := range pool.Customers {
 		before, sent := last.Customers[customer]
-		if sent && isSameAccount(before, now) {
+		if sent && isSameAccount(before, current) {
 			continue
 		}
 		result.Customers = append(result.Customers, e.number(update, customer))
-		result.Served = append(result.Served, now.Served-before.Served)
-		result.Pending = append(result.Pending, pendingUnits(now)-pendingUnits(before))
-		result.Waiting = append(result.Waiting, int32(now.Waiting)-int32(before.Waiting))
+		result.Served = append(result.Served, current.Served-before.Served)
+		result.Pending = append(result.Pending, pendingUnits(current)-pendingUnits(before))
+		result.Waiting = append(result.Waiting, int32(current.Waiting)-int32(before.Waiting))
 		if e.first {
-			result.Leads = append(result.Leads, now.Lead)
+			result.Leads = append(result.Leads, current.Lead)
 		}
 	}
 	if known && last.Demand == pool.Demand && len(result.Customers) == 0 {
@@ -99,7 +99,7 @@
 }
 
 // account identifies one customer in one pool.
-type account struct {
+type accountKey struct {
 	pool, customer uint32
 }
 
@@ -107,7 +107,7 @@
 type decoder struct {
 	names map[uint32]string
 	// accounts hold the sums of the differences received so far.
-	accounts map[account]CustomerState
+	accounts map[accountKey]CustomerState
 }
 
 // LengthMismatchError reports an update whose parallel fields differ in length.
@@ -123,7 +123,7 @@
 func (d *decoder) decode(update *peerpb.Update) (state State, err error) {
 	if d.names == nil {
 		d.names = map[uint32]string{}
-		d.accounts = map[account]CustomerState{}
+		d.accounts = map[accountKey]CustomerState{}
 	}
 	for _, name := range update.Names {
 		d.names[name.Number] = name.Text
@@ -320,16 +320,16 @@
 		Customers: make(map[string]CustomerState, len(pool.Customers)),
 	}
 	for i, customer := range pool.Customers {
-		key := account{pool: pool.Pool, customer: customer}
-		now := d.accounts[key]
-		now.Served += pool.Served[i]
-		now.Pending = uint64(max(0, int64(now.Pending)+pool.Pending[i]*PendingUnit))
-		now.Waiting = uint32(max(0, int32(now.Waiting)+pool.Waiting[i]))
+		key := accountKey{pool: pool.Pool, customer: customer}
+		current := d.accounts[key]
+		current.Served += pool.Served[i]
+		current.Pending = uint64(max(0, int64(current.Pending)+pool.Pending[i]*PendingUnit))
+		current.Waiting = uint32(max(0, int32(current.Waiting)+pool.Waiting[i]))
 		if len(pool.Leads) > 0 {
-			now.Lead = pool.Leads[i]
+			current.Lead = pool.Leads[i]
 		}
-		d.accounts[key] = now
-		result.Customers[d.names[customer]] = now
+		d.accounts[key] = current
+		result.Customers[d.names[customer]] = current
 	}
 	return result
 }
--- a/pkg/peer/dispatch.go
+++ b/pkg/peer/dispatch.go
@@ -130,7 +130,7 @@
 }
 
 // OpenDispatch opens a stream to a box that dispatches for a service.
-func (e *Exchange) OpenDispatch(box, service string) (stream *DispatchStream, err error) {
+func (e *Exchange) OpenDispatch(box, group string) (stream *DispatchStream, err error) {
 	defer func() { err = trace.Wrap(err, "opening a dispatch stream to %s", box) }()
 	session := e.session(box)
 	if session == nil {
@@ -141,7 +141,7 @@
 		return nil, err
 	}
 	opening := &peerpb.Opening{Purpose: &peerpb.Opening_DispatchHello{
-		DispatchHello: &peerpb.DispatchHello{Router: e.hello(), Service: service},
+		DispatchHello: &peerpb.DispatchHello{Router: e.hello(), Service: group},
 	}}
 	if err := send(raw, opening, e.Box.Exchange.Lapse.Duration, &e.Traffic.Dispatch); err != nil {
 		raw.Close()
--- a/pkg/peer/dispatch_test.go
+++ b/pkg/peer/dispatch_test.go
@@ -18,11 +18,11 @@
 // and keep a box from stopping; synctest reports them as a deadlock.
 func TestDispatchEndsWithItsServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		here, there := net.Pipe()
-		defer there.Close()
+		local, remote := net.Pipe()
+		defer remote.Close()
 		e := &Exchange{Dispatch: endingServer{}}
 		hello := &peerpb.DispatchHello{Router: &peerpb.Hello{Box: "box-1"}}
-		if err := e.serveDispatch(here, bufio.NewReader(here), hello); err != nil {
+		if err := e.serveDispatch(local, bufio.NewReader(local), hello); err != nil {
 			t.Logf("the stream ended with: %v", err)
 		}
 	})
--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -77,7 +77,7 @@
 // DispatchServer serves the routers that request engines from this box.
 type DispatchServer interface {
 	// ServeDispatch serves one stream until it ends.
-	ServeDispatch(from Sender, service string, stream *DispatchStream) error
+	ServeDispatch(from Sender, group string, stream *DispatchStream) error
 }
 
 // Handler receives the updates of peers.
--- a/pkg/peer/fetch.go
+++ b/pkg/peer/fetch.go
@@ -13,7 +13,7 @@
 
 // FetchSettings requests settings of at least a revision from one peer after the other,
 // beginning with the one named first, and returns the first that it gets.
-func (e *Exchange) FetchSettings(first string, revision uint64) (found uint64, content []byte, err error) {
+func (e *Exchange) FetchSettings(first string, revision uint64) (foundRevision uint64, content []byte, err error) {
 	defer func() { err = trace.Wrap(err, "fetching settings from peers") }()
 	for _, l := range e.orderedLinks(first) {
 		snapshot, err := e.FetchSettingsFrom(l.name, revision)
--- a/pkg/peer/fetch_test.go
+++ b/pkg/peer/fetch_test.go
@@ -33,12 +33,12 @@
 	Convey("All parts come over the session of the first one", t, func() {
 		asking, _ := startExchange(t, "asking", 1)
 		asked, address := startExchange(t, "asked", 2)
-		again, addressAgain := startExchange(t, "again", 3)
-		again.Directory = pagedDirectory{box: "again", onPage: func() {}}
+		restarted, restartedAddress := startExchange(t, "again", 3)
+		restarted.Directory = pagedDirectory{box: "again", onPage: func() {}}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		So(asking.Connect(ctx, "asked", address), ShouldBeNil)
-		So(asking.Connect(ctx, "again", addressAgain), ShouldBeNil)
+		So(asking.Connect(ctx, "again", restartedAddress), ShouldBeNil)
 		asked.Directory = pagedDirectory{box: "asked", onPage: func() {
 			asking.mu.Lock()
 			defer asking.mu.Unlock()
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -90,34 +90,34 @@
 }
 
 func (e *Exchange) sendSnapshot(stream net.Conn, request *peerpb.SnapshotRequest) (err error) {
-	reply := &peerpb.Snapshot{}
+	response := &peerpb.Snapshot{}
 	switch {
 	case request.Directory && e.Directory == nil:
 		return trace.BadParameter("this box provides no endpoints")
 	case request.Directory:
-		reply.Content, err = proto.Marshal(e.Directory.Directory(request.Since))
+		response.Content, err = proto.Marshal(e.Directory.Directory(request.Since))
 	case request.Rollout != "" && e.Rollouts == nil:
 		return trace.BadParameter("this box keeps no roll-out counts")
 	case request.Rollout != "":
-		reply.Tally = e.Rollouts.RolloutTally(request.Rollout)
+		response.Tally = e.Rollouts.RolloutTally(request.Rollout)
 	case request.Orders:
-		reply.Orders = e.orders()
+		response.Orders = e.orders()
 	default:
 		// The orders are read after the settings, so that they are not older than these.
-		reply.Revision, reply.Content = e.States.Snapshot()
-		reply.Orders = e.orders()
+		response.Revision, response.Content = e.States.Snapshot()
+		response.Orders = e.orders()
 		if e.Ends != nil {
-			reply.Ends = EncodeEnds(e.Ends.MostSevere(time.Now()))
+			response.Ends = EncodeEnds(e.Ends.MostSevere(time.Now()))
 		}
 		if e.Departures != nil {
 			departures, _ := e.Departures.Departures(0, "", time.Now())
-			reply.Departures = EncodeDepartures(departures)
+			response.Departures = EncodeDepartures(departures)
 		}
 	}
 	if err != nil {
 		return err
 	}
-	return send(stream, reply, e.Box.Exchange.Lapse.Duration, &e.Traffic.Snapshots)
+	return send(stream, response, e.Box.Exchange.Lapse.Duration, &e.Traffic.Snapshots)
 }
 
 // orders returns the orders in force here, or nil if they are not known.
@@ -152,8 +152,8 @@
 	if from.Incarnation == e.Incarnation {
 		return nil
 	}
-	e.countStreams(from, 1)
-	defer e.countStreams(from, -1)
+	e.adjustStreamCount(from, 1)
+	defer e.adjustStreamCount(from, -1)
 	decoder := decoder{}
 	for first := true; ; first = false {
 		if err := e.setReadDeadline(stream); err != nil {
@@ -174,7 +174,7 @@
 // countStreams counts the open update streams of a sender and calls HandlePeerLost when the
 // last one ends. The lock is held during the call, so that the first update of a stream opened
 // at the same time is handled after the loss and is not undone by it.
-func (e *Exchange) countStreams(from Sender, change int) {
+func (e *Exchange) adjustStreamCount(from Sender, change int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.streams[from.Incarnation] += change
--- a/pkg/peer/session_check_test.go
+++ b/pkg/peer/session_check_test.go
@@ -41,12 +41,12 @@
 		p.mu.Lock()
 		p.conns = append(p.conns, from, to)
 		p.mu.Unlock()
-		p.group.Go(func() error { return p.pass(from, to) })
-		p.group.Go(func() error { return p.pass(to, from) })
+		p.group.Go(func() error { return p.forward(from, to) })
+		p.group.Go(func() error { return p.forward(to, from) })
 	}
 }
 
-func (p *blackholeProxy) pass(from, to net.Conn) error {
+func (p *blackholeProxy) forward(from, to net.Conn) error {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -103,11 +103,11 @@
 
 func TestDoubtedSession(t *testing.T) {
 	Convey("A session over a dead connection is reopened when it is checked", t, func() {
-		there, err := net.Listen("tcp", "127.0.0.1:0")
+		farListener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		between, err := net.Listen("tcp", "127.0.0.1:0")
+		proxyListener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		proxy := &blackholeProxy{listener: between, target: there.Addr().String(), dropped: map[net.Conn]bool{}}
+		proxy := &blackholeProxy{listener: proxyListener, target: farListener.Addr().String(), dropped: map[net.Conn]bool{}}
 		proxy.group.Go(proxy.run)
 		defer proxy.close()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -120,10 +120,10 @@
 			return &Exchange{Box: own, Incarnation: incarnation, States: idleBox{}, Handler: idleBox{}, Dispatch: answeringServer{}, Log: zap.NewNop()}
 		}
 		far, near := exchange("far", 1), exchange("near", 2)
-		near.Box.Peers = map[string]settings.Peer{"far": {Address: between.Addr().String()}}
+		near.Box.Peers = map[string]settings.Peer{"far": {Address: proxyListener.Addr().String()}}
 		own, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		group.Go(func() error { return far.Run(ctx, there) })
+		group.Go(func() error { return far.Run(ctx, farListener) })
 		group.Go(func() error { return near.Run(ctx, own) })
 		eventually := func(holds func() bool) bool {
 			for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
--- a/pkg/registry/boxes.go
+++ b/pkg/registry/boxes.go
@@ -14,7 +14,7 @@
 
 // followBoxes polls the list of boxes until the context ends.
 func (r *Registry) followBoxes(ctx context.Context) error {
-	retry := backoff{peers: r.Peers}
+	retry := backoff{countOtherFollowers: r.CountOtherFollowers}
 	announced := false
 	listed := sync.OnceFunc(func() { close(r.boxesListed()) })
 	for ctx.Err() == nil {
@@ -23,7 +23,7 @@
 		if err == nil {
 			listed()
 			retry.reset()
-			length := interval.Jittered(boxesInterval + boxesIntervalPerBox*time.Duration(r.Peers()))
+			length := interval.Jittered(boxesInterval + boxesIntervalPerBox*time.Duration(r.CountOtherFollowers()))
 			if interval.Wait(ctx, length) != nil || r.awaitFollow(ctx, true, nil) != nil {
 				return nil
 			}
--- a/pkg/registry/catalog.go
+++ b/pkg/registry/catalog.go
@@ -12,7 +12,7 @@
 
 // followCatalog puts changes of the declared state in force until the context ends.
 func (r *Registry) followCatalog(ctx context.Context) error {
-	retry := backoff{peers: r.Peers}
+	retry := backoff{countOtherFollowers: r.CountOtherFollowers}
 	since, known := epoch.Version(0), false
 	orders := orderReader{log: r.Log}
 	r.loadQuarantine(ctx)
@@ -42,7 +42,7 @@
 
 func (r *Registry) readDeclared(ctx context.Context, since epoch.Version, known bool) (Declared, error) {
 	if known {
-		wait := min(max(minCatalogPollTimeout, catalogPollTimeoutPerBox*time.Duration(r.Peers())), maxCatalogPollTimeout)
+		wait := min(max(minCatalogPollTimeout, catalogPollTimeoutPerBox*time.Duration(r.CountOtherFollowers())), maxCatalogPollTimeout)
 		return r.Store.DeclaredSince(ctx, since, interval.Jittered(wait))
 	}
 	return r.Store.Declared(ctx)
--- a/pkg/registry/departures.go
+++ b/pkg/registry/departures.go
@@ -30,14 +30,14 @@
 // counts as leaving, whatever its row says, until a later instance of it is known. The answer is
 // fresher than any row, and the only source while the store is down or this box is cut off from
 // it. It reports whether that is news.
-func (r *Registry) RecordDeparture(chosen *route.Endpoint, now time.Time) (news bool) {
+func (r *Registry) RecordDeparture(chosen *route.Endpoint, now time.Time) (recorded bool) {
 	reported := []lifecycle.Departure{{Endpoint: chosen.ID, Born: chosen.Born}}
 	return r.OfferDepartures(reported, "", now)
 }
 
 // OfferDepartures records the departures that a peer reports; an empty name stands for this box.
 // It reports whether any of them is news.
-func (r *Registry) OfferDepartures(reported []lifecycle.Departure, from string, now time.Time) (news bool) {
+func (r *Registry) OfferDepartures(reported []lifecycle.Departure, from string, now time.Time) (recorded bool) {
 	if len(reported) == 0 {
 		return false
 	}
@@ -45,14 +45,14 @@
 		for i := range reported {
 			changed = r.addDeparture(reported[i], from, now) || changed
 		}
-		news = changed
+		recorded = changed
 		return changed
 	})
-	return news
+	return recorded
 }
 
 // addDeparture records a departure and reports whether it is news. The lock is held.
-func (r *Registry) addDeparture(reported lifecycle.Departure, from string, now time.Time) (changed bool) {
+func (r *Registry) addDeparture(reported lifecycle.Departure, from string, now time.Time) (recorded bool) {
 	known, exists := r.departures[reported.Endpoint]
 	if reported.Age > departureTTL || (exists && known.Born >= reported.Born) {
 		return false
--- a/pkg/registry/departures_test.go
+++ b/pkg/registry/departures_test.go
@@ -34,7 +34,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegistry()
 		now, version, newest := baseTime, epoch.Version(0), int64(1)
-		said := int64(0)
+		latestLeaving := int64(0)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "pause")) * time.Millisecond)
 			version++
@@ -55,19 +55,19 @@
 				if directory := r.Directory(); directory != nil {
 					if known, listed := directory.Find("e"); listed {
 						r.RecordDeparture(&known, now)
-						said = max(said, known.Born)
+						latestLeaving = max(latestLeaving, known.Born)
 					}
 				}
 			case 6:
 				born := newest - int64(rapid.IntRange(0, 1).Draw(t, "late"))
 				r.OfferDepartures([]lifecycle.Departure{{Endpoint: "e", Born: born, Age: time.Second}}, "peer", now)
 				if known, listed := r.entries.find("e"); !listed || known.Born <= born {
-					said = max(said, born)
+					latestLeaving = max(latestLeaving, born)
 				}
 			}
-			if directory := r.Directory(); directory != nil && said > 0 {
-				if known, listed := directory.Find("e"); listed && known.Born <= said && known.Admits() {
-					t.Fatalf("instance %d admits requests though instance %d stated that it leaves", known.Born, said)
+			if directory := r.Directory(); directory != nil && latestLeaving > 0 {
+				if known, listed := directory.Find("e"); listed && known.Born <= latestLeaving && known.Admits() {
+					t.Fatalf("instance %d admits requests though instance %d stated that it leaves", known.Born, latestLeaving)
 				}
 			}
 		}
--- a/pkg/registry/divergence_test.go
+++ b/pkg/registry/divergence_test.go
@@ -42,10 +42,10 @@
 			So(wrong.needsOwnRead(time.Now().Add(minDivergenceBackoff+time.Second)), ShouldBeTrue)
 		})
 		Convey("the other one does a full read as well, and then ever less often", func() {
-			for rest := minDivergenceBackoff; rest < maxDivergenceBackoff; rest *= 2 {
+			for minBackoff := minDivergenceBackoff; minBackoff < maxDivergenceBackoff; minBackoff *= 2 {
 				So(right.isDivergent(now.Add(time.Hour)), ShouldBeTrue)
 				right.applyReadNow(listed, 9, true, time.Now())
-				So(right.divergence.backoff, ShouldBeGreaterThanOrEqualTo, rest)
+				So(right.divergence.backoff, ShouldBeGreaterThanOrEqualTo, minBackoff)
 				exchange()
 				So(right.isDivergent(now.Add(time.Hour)), ShouldBeFalse)
 				right.divergence.ignoredUntil = time.Time{}
--- a/pkg/registry/endpoints.go
+++ b/pkg/registry/endpoints.go
@@ -18,10 +18,10 @@
 // changes up to since; version is that of the answer. full means that the entries are all that the
 // store lists, not only the changes. It returns how many entries were ignored as outdated though
 // they differ from the known ones.
-func (r *Registry) applyRead(entries []Entry, since, version epoch.Version, full bool, now time.Time) (passedOver int) {
+func (r *Registry) applyRead(entries []Entry, since, version epoch.Version, full bool, now time.Time) (ignoredOutdated int) {
 	r.update(now, func() (changed bool) {
-		r.passedOver = 0
-		defer func() { passedOver = r.passedOver }()
+		r.ignoredOutdated = 0
+		defer func() { ignoredOutdated = r.ignoredOutdated }()
 		if r.isStaleRead(since, version) {
 			return false
 		}
@@ -36,7 +36,7 @@
 		}
 		return changed
 	})
-	return passedOver
+	return ignoredOutdated
 }
 
 // isStaleRead reports whether peers have sent newer state than that of an answer of the store
@@ -93,19 +93,19 @@
 
 // mergeAll merges entries and reports whether the directory changes. The lock is held.
 func (r *Registry) mergeAll(entries []Entry, from string, now time.Time) (changed bool) {
-	r.quiet = len(entries) > maxLoggedEntries
+	r.summaryOnly = len(entries) > maxLoggedEntries
 	for i := range entries {
 		changed = r.merge(entries[i], from, now) || changed
 	}
-	if r.quiet {
+	if r.summaryOnly {
 		r.Log.Info("many endpoints known", zap.Int("Entries", len(entries)), zap.String("From", from))
-		r.quiet = false
+		r.summaryOnly = false
 	}
 	return changed
 }
 
 func (r *Registry) logKnown(entry *Entry, from string) {
-	if r.quiet {
+	if r.summaryOnly {
 		return
 	}
 	r.Log.Info("endpoint known",
@@ -142,7 +142,7 @@
 			return r.addDeparture(lifecycle.Departure{Endpoint: entry.ID, Born: entry.Born}, from, now)
 		}
 		if entry.Gone != known.Gone || entry.Leaving != known.Leaving || entry.Born != known.Born {
-			r.passedOver++
+			r.ignoredOutdated++
 		}
 		return false
 	}
@@ -349,7 +349,7 @@
 // version and news is set. If entries changed, ask is set: they have to be requested from the
 // peer. A peer that lacks changes which this box needs is of no use; this box then has to read the
 // store itself.
-func (r *Registry) ReceiveKnowledge(other route.Knowledge, newest epoch.Version) (news, ask bool) {
+func (r *Registry) ReceiveKnowledge(other route.Knowledge, newest epoch.Version) (changed, shouldFetch bool) {
 	r.mu.Lock()
 	known, upTo := r.knowledge, r.knowledge.Known
 	r.compareDigest(other, time.Now())
@@ -358,15 +358,15 @@
 	case ahead && !r.canUpdateFrom(other):
 		r.missing.record(other.Known, r.maxLeavingDelay(), time.Now())
 	case ahead && (newest > upTo || upTo == 0):
-		ask = true
+		shouldFetch = true
 	default:
 		r.knowledge.Merge(other)
 	}
-	news = r.knowledge != known
+	changed = r.knowledge != known
 	polled := r.knowledge.Polls > known.Polls
 	r.mu.Unlock()
 	if polled {
 		r.RecordPeerPoll()
 	}
-	return news, ask
+	return changed, shouldFetch
 }
--- a/pkg/registry/follow.go
+++ b/pkg/registry/follow.go
@@ -52,14 +52,14 @@
 		}
 	}
 	began := time.Now()
-	listed, cancel := context.WithTimeout(ctx, boxListTimeout)
+	listCtx, cancel := context.WithTimeout(ctx, boxListTimeout)
 	defer cancel()
 	select {
-	case <-listed.Done():
+	case <-listCtx.Done():
 	case <-r.boxesListed():
 	}
-	step := max(minTurnInterval, turnIntervalCalls*time.Since(began))
-	for listed := time.Now(); r.isUninitialized() && !r.canRead(time.Since(listed), step); {
+	turnInterval := max(minTurnInterval, turnIntervalCalls*time.Since(began))
+	for listedAt := time.Now(); r.isUninitialized() && !r.canRead(time.Since(listedAt), turnInterval); {
 		if err := interval.Wait(ctx, interval.Jittered(startCheckInterval)); err != nil {
 			return err
 		}
@@ -70,8 +70,8 @@
 // canRead reports whether this box may read the store, a time after it learned its start rank.
 // Boxes of a lower rank that are alive and reach the store read first and send their result,
 // however long that takes; boxes that are only listed may be gone.
-func (r *Registry) canRead(waited, step time.Duration) bool {
-	if r.FirstStart && waited < firstStartTimeout && !r.Follows() {
+func (r *Registry) canRead(waited, turnInterval time.Duration) bool {
+	if r.FirstStart && waited < firstStartTimeout && !r.IsFollower() {
 		return false
 	}
 	if r.LiveAhead != nil && r.LiveAhead() >= maxStartReaders && waited < maxLiveStartDelay {
@@ -81,30 +81,30 @@
 		return true
 	}
 	turns := time.Duration(r.StartRank() / maxStartReaders)
-	return waited >= min(turns, maxStartDelay/minTurnInterval)*step
+	return waited >= min(turns, maxStartDelay/minTurnInterval)*turnInterval
 }
 
 // boxesListed returns the channel listed, which is created on first use.
 func (r *Registry) boxesListed() chan struct{} {
-	r.listedOnce.Do(func() { r.listed = make(chan struct{}) })
-	return r.listed
+	r.boxListOnce.Do(func() { r.boxListSignal = make(chan struct{}) })
+	return r.boxListSignal
 }
 
 // awaitFollow waits until this box has to follow the store. A box without any state that receives
 // none reads in its start turn, and a box for which lacks returns true reads at once; a nil lacks
 // never does. It returns the context's error if that ends first.
-func (r *Registry) awaitFollow(ctx context.Context, informed bool, lacks func(now time.Time) bool) error {
-	if r.Follows == nil {
+func (r *Registry) awaitFollow(ctx context.Context, hasState bool, needsOwnRead func(now time.Time) bool) error {
+	if r.IsFollower == nil {
 		return ctx.Err()
 	}
-	if !informed {
+	if !hasState {
 		if err := r.awaitStartTurn(ctx); err != nil || r.isUninitialized() {
 			return err
 		}
 	}
 	waited := false
-	for !r.Follows() {
-		if lacks != nil && lacks(time.Now()) {
+	for !r.IsFollower() {
+		if needsOwnRead != nil && needsOwnRead(time.Now()) {
 			r.Log.Info("the store is read for what no other box can tell", zap.Stringer("Known", r.Position()))
 			return ctx.Err()
 		}
@@ -113,10 +113,10 @@
 			return err
 		}
 	}
-	if waited && lacks != nil {
-		r.Log.Info("this box follows the store", zap.Bool("LostElsewhere", r.LostElsewhere()))
+	if waited && needsOwnRead != nil {
+		r.Log.Info("this box follows the store", zap.Bool("LostElsewhere", r.IsStoreLostElsewhere()))
 	}
-	if waited && r.LostElsewhere() {
+	if waited && r.IsStoreLostElsewhere() {
 		// Entries that are missing now may have been removed because of the outage. The boxes that
 		// followed the store know of it, and this one has to treat removals as they do.
 		r.recordEndpointsFailure(errLostElsewhere)
@@ -178,9 +178,9 @@
 	lost := err != nil && !isHistoryLost(err)
 	now := time.Now()
 	r.mu.Lock()
-	changed := lost != r.lost && now.Sub(r.lostAt) >= minStoreLostInterval
+	changed := lost != r.storeLost && now.Sub(r.storeLostChangedAt) >= minStoreLostInterval
 	if changed {
-		r.lost, r.lostAt = lost, now
+		r.storeLost, r.storeLostChangedAt = lost, now
 	}
 	r.mu.Unlock()
 	if changed {
--- a/pkg/registry/follow_test.go
+++ b/pkg/registry/follow_test.go
@@ -111,16 +111,16 @@
 				b := &box{lost: make(chan bool, 100), store: &countingStore{fakeStore: &fakeStore{state: fakeState{config: []byte("version 1")}}}}
 				b.store.change(func(s *fakeState) { s.put("a", 1) })
 				b.Registry = &Registry{
-					Store:         b.store,
-					Log:           zap.NewNop(),
-					Changed:       func() {},
-					FoundBoxes:    func([]Box) {},
-					Polled:        func() {},
-					Peers:         func() int { return 9 },
-					Follows:       func() bool { return b.follows.Load() },
-					LostElsewhere: func() bool { return b.lostElsewhere.Load() },
-					StoreLost:     func(lost bool) { b.lost <- lost },
-					FirstStart:    !c.before,
+					Store:                b.store,
+					Log:                  zap.NewNop(),
+					Changed:              func() {},
+					FoundBoxes:           func([]Box) {},
+					Polled:               func() {},
+					CountOtherFollowers:  func() int { return 9 },
+					IsFollower:           func() bool { return b.follows.Load() },
+					IsStoreLostElsewhere: func() bool { return b.lostElsewhere.Load() },
+					StoreLost:            func(lost bool) { b.lost <- lost },
+					FirstStart:           !c.before,
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				group := errgroup.Group{}
@@ -147,8 +147,8 @@
 			r := &Registry{
 				Store: store, Log: zap.NewNop(), FirstStart: true,
 				Changed: func() {}, FoundBoxes: func([]Box) {}, Polled: func() {},
-				Peers: func() int { return 4 }, Follows: func() bool { return false },
-				LostElsewhere: func() bool { return false },
+				CountOtherFollowers: func() int { return 4 }, IsFollower: func() bool { return false },
+				IsStoreLostElsewhere: func() bool { return false },
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			group := errgroup.Group{}
--- a/pkg/registry/grace.go
+++ b/pkg/registry/grace.go
@@ -46,7 +46,7 @@
 	}
 	r.inGrace[entry.ID] = struct{}{}
 	r.put(entry)
-	if r.quiet {
+	if r.summaryOnly {
 		return known.ID == ""
 	}
 	r.Log.Info("entry lapsed during an outage, endpoint still used",
@@ -92,7 +92,7 @@
 // runExpiry ends grace periods, holds and kept orders in time.
 func (r *Registry) runExpiry(ctx context.Context) error {
 	for interval.Wait(ctx, expiryCheckInterval) == nil {
-		if r.hasGracePeriods() || r.hasHeld() {
+		if r.hasGracePeriods() || r.hasHolds() {
 			r.update(time.Now(), func() bool { return false })
 		}
 		if r.expireKeptOrders(time.Now()) {
@@ -116,8 +116,8 @@
 	if r.recoveredAt.Sub(r.outageSince) < r.maxLeavingDelay() {
 		return end
 	}
-	if back := r.recoveredAt.Add(min(gracePeriod, r.maxLeavingDelay()-graceMargin)); back.After(end) {
-		end = back
+	if graceAfterReturn := r.recoveredAt.Add(min(gracePeriod, r.maxLeavingDelay()-graceMargin)); graceAfterReturn.After(end) {
+		end = graceAfterReturn
 	}
 	return end
 }
--- a/pkg/registry/grace_test.go
+++ b/pkg/registry/grace_test.go
@@ -88,9 +88,9 @@
 			version := epoch.Version(10 + i)
 			changed := []Entry{{Endpoint: endpointOf(fmt.Sprint(i)), Version: version, Gone: true}}
 			if i == 2 {
-				leaves := Entry{Endpoint: endpointOf("5"), Version: version}
-				leaves.Leaving = true
-				changed = append(changed, leaves)
+				leavingEntry := Entry{Endpoint: endpointOf("5"), Version: version}
+				leavingEntry.Leaving = true
+				changed = append(changed, leavingEntry)
 			}
 			r.applyReadNow(changed, version, false, now.Add(time.Millisecond))
 			(&testBox{Registry: other}).receive(&testBox{Registry: r})
@@ -106,14 +106,14 @@
 	Convey("An endpoint that left between two polls, with failed calls in between, is not used for too long", t, func() {
 		for _, pause := range []time.Duration{100 * time.Millisecond, time.Second, 1800 * time.Millisecond} {
 			r := newRegistry()
-			looked := time.Now()
-			r.recordEndpointsRead(looked)
-			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, looked)
-			r.failedAt = looked.Add(pause - 50*time.Millisecond)
-			back := looked.Add(pause)
-			r.recordEndpointsRead(back)
-			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 2, Gone: true}}, 2, false, back)
-			r.update(looked.Add(defaultMaxLeavingDelay), func() bool { return false })
+			polledAt := time.Now()
+			r.recordEndpointsRead(polledAt)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, polledAt)
+			r.failedAt = polledAt.Add(pause - 50*time.Millisecond)
+			recoveredAt := polledAt.Add(pause)
+			r.recordEndpointsRead(recoveredAt)
+			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 2, Gone: true}}, 2, false, recoveredAt)
+			r.update(polledAt.Add(defaultMaxLeavingDelay), func() bool { return false })
 			So(has(r, "a"), ShouldBeFalse)
 		}
 	})
--- a/pkg/registry/knowledge_test.go
+++ b/pkg/registry/knowledge_test.go
@@ -86,7 +86,7 @@
 // receive takes the state of another box the way boxes do: it requests entries only if some
 // changed.
 func (r *testBox) receive(other *testBox) {
-	if _, ask := r.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); ask {
+	if _, shouldFetch := r.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); shouldFetch {
 		entries, knowledge, _ := other.EntriesSince(r.Position())
 		r.OfferEntries(valuesOf(entries), knowledge, "other")
 	}
@@ -114,21 +114,21 @@
 			entries = append(entries, Entry{Endpoint: endpointOf(fmt.Sprintf("e-%d", i)), Version: epoch.Version(1 + i/3)})
 		}
 		sender.applyReadNow(entries, count, true, time.Now())
-		since, parts := epoch.Version(0), 0
+		since, pages := epoch.Version(0), 0
 		var all []Entry
 		knowledge := route.Knowledge{}
-		for more := true; more; parts++ {
-			page, known, rest := sender.EntriesSince(since)
+		for more := true; more; pages++ {
+			page, known, hasMore := sender.EntriesSince(since)
 			for _, entry := range page {
 				since = max(since, entry.Version)
 			}
 			all, knowledge = append(all, valuesOf(page)...), known
-			if more = rest; more {
-				sender.applyReadNow([]Entry{{Endpoint: endpointOf("e-1"), Version: epoch.Version(count + parts + 1)}}, epoch.Version(count+parts+1), false, time.Now())
+			if more = hasMore; more {
+				sender.applyReadNow([]Entry{{Endpoint: endpointOf("e-1"), Version: epoch.Version(count + pages + 1)}}, epoch.Version(count+pages+1), false, time.Now())
 			}
 		}
 		receiver.OfferEntries(all, knowledge, "sender")
-		So(parts, ShouldEqual, 3)
+		So(pages, ShouldEqual, 3)
 		So(receiver.Directory().Len(), ShouldEqual, count)
 		So(receiver.Directory().All(), ShouldResemble, sender.Directory().All())
 		So(receiver.Knowledge().Known, ShouldEqual, sender.Knowledge().Known)
@@ -230,8 +230,8 @@
 		sender.poll(store, true)
 		store.write("joined", func(e *Entry) { e.Endpoint = endpointOf("joined") })
 		sender.poll(store, false)
-		_, ask := box.ReceiveKnowledge(sender.Knowledge(), sender.NewestVersion())
-		So(ask, ShouldBeTrue)
+		_, shouldFetch := box.ReceiveKnowledge(sender.Knowledge(), sender.NewestVersion())
+		So(shouldFetch, ShouldBeTrue)
 
 		store.write("left", func(e *Entry) { e.Gone = true })
 		sender = &testBox{Registry: newRegistry()}
--- a/pkg/registry/orders.go
+++ b/pkg/registry/orders.go
@@ -58,15 +58,15 @@
 }
 
 // reject logs a malformed order, once per version.
-func (o *orderReader) reject(what string, version epoch.Version, problem error) {
+func (o *orderReader) reject(subject string, version epoch.Version, problem error) {
 	if o.rejected == nil {
 		o.rejected = map[string]epoch.Version{}
 	}
-	if o.rejected[what] == version {
+	if o.rejected[subject] == version {
 		return
 	}
-	o.rejected[what] = version
-	o.log.Error("order not taken", zap.String("Order", what), zap.Stringer("Version", version), zap.Error(problem))
+	o.rejected[subject] = version
+	o.log.Error("order not taken", zap.String("Order", subject), zap.Stringer("Version", version), zap.Error(problem))
 }
 
 // Orders returns the operator's orders in force, or nil if they are not known.
--- a/pkg/registry/outages_test.go
+++ b/pkg/registry/outages_test.go
@@ -47,7 +47,7 @@
 	faultAt    time.Time
 	nextPollAt time.Time
 	failures   int
-	lost       bool
+	storeLost  bool
 	followed   bool
 	seenPolls  int64
 	// fullRead is set when the store has lost its history.
@@ -72,12 +72,12 @@
 	// downUntil is when the store is back; faultAt is when it was last down.
 	downUntil, faultAt time.Time
 	// dueWrites are the pending writes of servers; next numbers new servers.
-	dueWrites []dueWrite
-	next      int
-	began     time.Time
+	dueWrites  []dueWrite
+	nextServer int
+	startedAt  time.Time
 	// log describes the history; broken is the first violation found.
-	log    []string
-	broken string
+	log       []string
+	violation string
 }
 
 func (f *outageFleet) draw(low, high int) int {
@@ -91,12 +91,12 @@
 func (f *outageFleet) isDown() bool { return time.Now().Before(f.downUntil) }
 
 func (f *outageFleet) record(format string, values ...any) {
-	f.log = append(f.log, fmt.Sprintf("%v ", time.Since(f.began))+fmt.Sprintf(format, values...))
+	f.log = append(f.log, fmt.Sprintf("%v ", time.Since(f.startedAt))+fmt.Sprintf(format, values...))
 }
 
 func (f *outageFleet) fail(format string, values ...any) {
-	if f.broken == "" {
-		f.broken = fmt.Sprintf("%v ", time.Since(f.began)) + fmt.Sprintf(format, values...)
+	if f.violation == "" {
+		f.violation = fmt.Sprintf("%v ", time.Since(f.startedAt)) + fmt.Sprintf(format, values...)
 	}
 }
 
@@ -110,17 +110,17 @@
 	}
 }
 
-func (f *outageFleet) fails(i int) bool {
+func (f *outageFleet) refusesCalls(i int) bool {
 	return f.isDown() || time.Now().Before(f.boxes[i].refusedUntil)
 }
 
 // follows is a simplified membership.View.IsFollower.
-func (f *outageFleet) follows(i int) bool {
+func (f *outageFleet) isFollower(i int) bool {
 	reaching, lost := 0, 0
 	for _, box := range f.boxes[:i] {
 		switch {
 		case !box.up:
-		case box.lost:
+		case box.storeLost:
 			lost++
 		default:
 			reaching++
@@ -129,9 +129,9 @@
 	return reaching+lost-min(lost, 2) < 2
 }
 
-func (f *outageFleet) lostElsewhere(i int) bool {
+func (f *outageFleet) isStoreLostElsewhere(i int) bool {
 	for j, box := range f.boxes {
-		if j != i && box.up && box.lost {
+		if j != i && box.up && box.storeLost {
 			return true
 		}
 	}
@@ -140,14 +140,14 @@
 
 func (f *outageFleet) poll(i int) {
 	box, now := f.boxes[i], time.Now()
-	if !f.follows(i) && box.Directory() != nil && !box.needsOwnRead(now) {
+	if !f.isFollower(i) && box.Directory() != nil && !box.needsOwnRead(now) {
 		box.followed = false
 		return
 	}
-	if !box.followed && box.Directory() != nil && f.follows(i) && f.lostElsewhere(i) {
+	if !box.followed && box.Directory() != nil && f.isFollower(i) && f.isStoreLostElsewhere(i) {
 		box.recordEndpointsFailure(errOutage)
 	}
-	box.followed = f.follows(i)
+	box.followed = f.isFollower(i)
 	if box.peerPolls.Load() != box.seenPolls {
 		box.seenPolls = box.peerPolls.Load()
 		box.nextPollAt = now.Add(f.milliseconds(400, 1200))
@@ -155,15 +155,15 @@
 	if now.Before(box.nextPollAt) {
 		return
 	}
-	if f.fails(i) {
+	if f.refusesCalls(i) {
 		f.record("poll of box %d fails", i)
 		box.recordEndpointsFailure(errOutage)
-		box.lost = true
+		box.storeLost = true
 		box.nextPollAt = now.Add(min(minRetryDelay<<min(box.failures, 6), maxRetryDelay))
 		box.failures++
 		return
 	}
-	box.lost, box.failures = false, 0
+	box.storeLost, box.failures = false, 0
 	box.recordEndpointsRead(now)
 	since := box.Position()
 	if since == 0 || box.fullRead {
@@ -182,12 +182,12 @@
 	if i == from || !box.up || !other.up {
 		return
 	}
-	lacked := !box.missing.due.IsZero()
-	_, ask := box.ReceiveKnowledge(other.Knowledge(), other.NewestVersion())
-	if !lacked && !box.missing.due.IsZero() {
+	wasMissing := !box.missing.due.IsZero()
+	_, shouldFetch := box.ReceiveKnowledge(other.Knowledge(), other.NewestVersion())
+	if !wasMissing && !box.missing.due.IsZero() {
 		box.missing.due = time.Now().Add(time.Duration((minOwnReadFraction + ownReadJitterFraction*f.Float64()) * float64(defaultMaxLeavingDelay)))
 	}
-	if ask && len(box.fetches) == 0 {
+	if shouldFetch && len(box.fetches) == 0 {
 		box.fetches = append(box.fetches, dueFetch{at: time.Now().Add(f.milliseconds(0, maxFetchMilliseconds)), from: from})
 	}
 }
@@ -257,11 +257,11 @@
 			f.fail("box %d takes its endpoints to differ from those of another one", i)
 		}
 		for _, endpoint := range box.Directory().All() {
-			left, leaves := f.leftAt[endpoint.ID]
-			if !leaves || !endpoint.Admits() {
+			leftAt, hasLeft := f.leftAt[endpoint.ID]
+			if !hasLeft || !endpoint.Admits() {
 				continue
 			}
-			from := left
+			from := leftAt
 			if stable := f.faultAt.Add(minStableTime); stable.After(from) {
 				from = stable
 			}
@@ -269,15 +269,15 @@
 				from = stable
 			}
 			if late := now.Sub(from); late > defaultMaxLeavingDelay+maxExchangeDelay {
-				f.fail("box %d sends to %s, %v after it left, %v after the last fault", i, endpoint.ID, now.Sub(left), late)
+				f.fail("box %d sends to %s, %v after it left, %v after the last fault", i, endpoint.ID, now.Sub(leftAt), late)
 			}
 		}
 	}
 }
 
 func (f *outageFleet) join() {
-	id := fmt.Sprintf("e-%d", f.next)
-	f.next++
+	id := fmt.Sprintf("e-%d", f.nextServer)
+	f.nextServer++
 	f.live[id] = route.Endpoint{ID: id, Service: "llm", Address: "10.0.0.1:80", Zone: "zone-a"}
 	f.store.write(id, func(e *Entry) { e.Gone, e.Endpoint = false, f.live[id] })
 }
@@ -315,7 +315,7 @@
 	id := f.sample(slices.Sorted(maps.Keys(f.live)))
 	f.store.write(id, func(e *Entry) { e.Gone = true })
 	f.dueWrites = append(f.dueWrites, dueWrite{at: f.downUntil.Add(f.milliseconds(0, 2000)), write: func() {
-		if server, lives := f.live[id]; lives {
+		if server, running := f.live[id]; running {
 			f.store.write(id, func(e *Entry) { e.Gone, e.Endpoint = false, server })
 		}
 	}})
@@ -357,11 +357,11 @@
 			f.removeLive()
 		case 6:
 			f.downUntil = time.Now().Add(f.milliseconds(100, 6000))
-			f.record("store down until %v", f.downUntil.Sub(f.began))
+			f.record("store down until %v", f.downUntil.Sub(f.startedAt))
 		case 7:
 			i := f.draw(0, len(f.boxes)-1)
 			f.boxes[i].refusedUntil = time.Now().Add(f.milliseconds(100, 6000))
-			f.record("box %d refused until %v", i, f.boxes[i].refusedUntil.Sub(f.began))
+			f.record("box %d refused until %v", i, f.boxes[i].refusedUntil.Sub(f.startedAt))
 		case 8:
 			f.kill(f.draw(0, len(f.boxes)-1))
 		case 9:
@@ -392,15 +392,15 @@
 			f.fail("box %d has %v, the servers are %v", i, slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(f.live)))
 		}
 	}
-	return f.broken
+	return f.violation
 }
 
 // TestDrawnOutages guards against endpoints that are used too long after they left, in random
 // histories of outages, of boxes that restart and of servers that leave with or without notice.
 func TestDrawnOutages(t *testing.T) {
 	histories := outageHistories
-	if asked, err := strconv.Atoi(os.Getenv("QUAYLEAD_FLEETS")); err == nil {
-		histories = asked
+	if requested, err := strconv.Atoi(os.Getenv("QUAYLEAD_FLEETS")); err == nil {
+		histories = requested
 	}
 	broken := 0
 	for seed := range histories {
@@ -409,7 +409,7 @@
 				Rand:  rand.New(rand.NewPCG(uint64(seed), 0)),
 				store: versionedStore{entries: map[string]Entry{}},
 				live:  map[string]route.Endpoint{}, leftAt: map[string]time.Time{},
-				boxes: make([]*outageBox, outageBoxes), began: time.Now(),
+				boxes: make([]*outageBox, outageBoxes), startedAt: time.Now(),
 			}
 			if violation := f.run(); violation != "" {
 				broken++
--- a/pkg/registry/quarantine.go
+++ b/pkg/registry/quarantine.go
@@ -42,7 +42,7 @@
 
 // followQuarantine writes the changes of the quarantine until the context ends.
 func (r *Registry) followQuarantine(ctx context.Context) error {
-	retry := backoff{peers: r.Peers}
+	retry := backoff{countOtherFollowers: r.CountOtherFollowers}
 	for {
 		select {
 		case <-ctx.Done():
@@ -75,7 +75,7 @@
 	if r.Quarantine == nil || r.FirstStart {
 		return
 	}
-	retry := backoff{peers: r.Peers}
+	retry := backoff{countOtherFollowers: r.CountOtherFollowers}
 	for range maxQuarantineReads {
 		err := r.readQuarantine(ctx)
 		if err == nil {
@@ -107,23 +107,23 @@
 		return err
 	}
 	now := time.Now()
-	var old, kept []quarantine.StoredRequest
+	var outdated, stored []quarantine.StoredRequest
 	for i := range rows {
 		row := &rows[i]
 		switch {
 		case row.Problem != nil:
 			r.Log.Error("row of a quarantined request not taken", zap.String("Key", row.Key), zap.Error(row.Problem))
 		case row.Outdated():
-			old = append(old, quarantine.StoredRequest{Fingerprint: row.Fingerprint})
+			outdated = append(outdated, quarantine.StoredRequest{Fingerprint: row.Fingerprint})
 		default:
 			r.Quarantine.Merge(row.Ends, fromStore, now)
-			kept = append(kept, row.StoredRequest)
+			stored = append(stored, row.StoredRequest)
 		}
 	}
-	r.Log.Info("quarantined requests read", zap.Int("Requests", len(rows)), zap.Int("Old", len(old)))
-	r.Quarantine.Reconcile(kept)
-	if len(old) > 0 {
-		r.Quarantine.PutBack(old)
+	r.Log.Info("quarantined requests read", zap.Int("Requests", len(rows)), zap.Int("Old", len(outdated)))
+	r.Quarantine.Reconcile(stored)
+	if len(outdated) > 0 {
+		r.Quarantine.PutBack(outdated)
 		r.PersistQuarantine()
 	}
 	return nil
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -47,10 +47,10 @@
 	// LiveBoxes returns the other boxes that are known to be alive. Nil means that none are known.
 	LiveBoxes func() []Box
 	// Peers returns the number of other boxes that follow the store.
-	Peers func() int
+	CountOtherFollowers func() int
 	// Follows reports whether this box has to follow the store; the others receive the state from
 	// the boxes that do. Nil means that it does.
-	Follows func() bool
+	IsFollower func() bool
 	// StartRank returns how many other boxes read the store before this one when all boxes have
 	// just started without any state. It is called once the list of boxes is known. Nil means
 	// none.
@@ -59,11 +59,11 @@
 	// Nil means none.
 	LiveAhead func() int
 	// FullReadStarted is called when a read of all endpoints starts. It may be nil.
-	FullReadStarted func(why FullReadReason)
+	FullReadStarted func(reason FullReadReason)
 	// StoreLost is called when the store calls of this box begin to fail and when they succeed
 	// again. LostElsewhere reports whether those of another box fail.
-	StoreLost     func(lost bool)
-	LostElsewhere func() bool
+	StoreLost            func(lost bool)
+	IsStoreLostElsewhere func() bool
 	// FirstStart is set if no box of the fleet has run before.
 	FirstStart bool
 	// MaxLeavingDelay is the time within which a leaving endpoint has to get no new work; 0 means
@@ -76,8 +76,8 @@
 	quarantineSignal chan struct{}
 	quarantineOnce   sync.Once
 	// listed is closed once the list of boxes was read.
-	listed     chan struct{}
-	listedOnce sync.Once
+	boxListSignal chan struct{}
+	boxListOnce   sync.Once
 	// restoreSignal has a value after the store was restored. Its capacity is 1.
 	restoreSignal chan struct{}
 	restoreOnce   sync.Once
@@ -96,11 +96,11 @@
 	// pendingChanges are the changes of the directory that TakeChanges has not returned yet.
 	changedIDs []string
 	// quiet suppresses the log line per endpoint while many entries are merged.
-	quiet bool
+	summaryOnly bool
 	// passedOver counts the entries of a read that were ignored as outdated though they differ
 	// from the known ones.
-	passedOver     int
-	pendingChanges []route.Change
+	ignoredOutdated int
+	pendingChanges  []route.Change
 	// knowledge records up to which version the entries are known, from own polls or from peers.
 	knowledge route.Knowledge
 	// missing records updates that this box lacks and that no peer could supply so far.
@@ -112,8 +112,8 @@
 	// divergence tracks what to do about a peer that reports another digest.
 	divergence divergence
 	// lost is set while this box's calls of the store fail; lostAt is when that last changed.
-	lost   bool
-	lostAt time.Time
+	storeLost          bool
+	storeLostChangedAt time.Time
 	// inGrace are the IDs of the entries in their grace period.
 	inGrace map[string]struct{}
 	// held maps the entries that are Held to the time at which that ends.
@@ -209,11 +209,11 @@
 type backoff struct {
 	failures int
 	// peers returns the number of other boxes that follow the store.
-	peers func() int
+	countOtherFollowers func() int
 }
 
 func (b *backoff) wait(ctx context.Context) error {
-	maxDelay := min(max(maxRetryDelay, retryDelayPerBox*time.Duration(b.peers())), maxFleetRetryDelay)
+	maxDelay := min(max(maxRetryDelay, retryDelayPerBox*time.Duration(b.countOtherFollowers())), maxFleetRetryDelay)
 	delay := min(minRetryDelay<<min(b.failures, 6), maxDelay)
 	b.failures++
 	return interval.Wait(ctx, interval.Jittered(delay))
@@ -223,7 +223,7 @@
 
 // followEndpoints polls the endpoints until the context ends.
 func (r *Registry) followEndpoints(ctx context.Context) error {
-	retry := backoff{peers: r.Peers}
+	retry := backoff{countOtherFollowers: r.CountOtherFollowers}
 	full := false
 	for r.awaitFollow(ctx, r.Directory() != nil, r.needsOwnRead) == nil {
 		since := r.Position()
@@ -247,14 +247,14 @@
 		}
 		retry.reset()
 		r.recordEndpointsRead(time.Now())
-		passedOver := r.applyRead(entries, since, version, full, time.Now())
+		ignoredOutdated := r.applyRead(entries, since, version, full, time.Now())
 		if (full && since > 0) || version < since {
 			r.Log.Info("endpoints read from another version",
 				zap.Stringer("Since", since),
 				zap.Stringer("Version", version),
 				zap.Bool("Whole", full),
 				zap.Int("Entries", len(entries)),
-				zap.Int("PassedOver", passedOver))
+				zap.Int("PassedOver", ignoredOutdated))
 		}
 		full = false
 		r.Polled()
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -48,18 +48,18 @@
 
 var errStoreDown = errors.New("the store is down")
 
-func (f *fakeStore) change(how func(*fakeState)) {
+func (f *fakeStore) change(modify func(*fakeState)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	how(&f.state)
+	modify(&f.state)
 }
 
-func (f *fakeStore) now() fakeState {
+func (f *fakeStore) current() fakeState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.state
-	now.entries = slices.Clone(now.entries)
-	return now
+	state := f.state
+	state.entries = slices.Clone(state.entries)
+	return state
 }
 
 func (s *fakeState) declared() Declared {
@@ -67,26 +67,26 @@
 }
 
 func (f *fakeStore) Declared(context.Context) (Declared, error) {
-	now := f.now()
-	if now.failing {
+	state := f.current()
+	if state.failing {
 		return Declared{}, errStoreDown
 	}
-	return now.declared(), nil
+	return state.declared(), nil
 }
 
 func (f *fakeStore) DeclaredSince(ctx context.Context, version epoch.Version, wait time.Duration) (Declared, error) {
-	if now := f.now(); now.hanging || now.failing {
+	if state := f.current(); state.hanging || state.failing {
 		time.Sleep(wait + time.Second)
 		return Declared{}, errStoreDown
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
 		// Both come from the same read: a change must not fall between them.
-		now := f.now()
-		if now.version > version {
-			return now.declared(), nil
+		state := f.current()
+		if state.version > version {
+			return state.declared(), nil
 		}
 		if !time.Now().Before(end) || ctx.Err() != nil {
-			return Declared{Version: now.version}, nil
+			return Declared{Version: state.version}, nil
 		}
 	}
 }
@@ -100,33 +100,33 @@
 }
 
 func (f *fakeStore) Endpoints(context.Context) ([]Entry, epoch.Version, error) {
-	now := f.now()
-	if now.failing {
+	state := f.current()
+	if state.failing {
 		return nil, 0, errStoreDown
 	}
-	return now.entries, now.version, nil
+	return state.entries, state.version, nil
 }
 
 func (f *fakeStore) EndpointsSince(_ context.Context, version epoch.Version) ([]Entry, epoch.Version, error) {
-	now := f.now()
-	if now.failing {
+	state := f.current()
+	if state.failing {
 		return nil, 0, errStoreDown
 	}
-	if now.historyLost {
+	if state.historyLost {
 		f.change(func(s *fakeState) { s.historyLost = false })
 		return nil, 0, ErrHistoryLost
 	}
 	var newer []Entry
-	for _, entry := range now.entries {
+	for _, entry := range state.entries {
 		if entry.Version > version {
 			newer = append(newer, entry)
 		}
 	}
-	return newer, now.version, nil
+	return newer, state.version, nil
 }
 
 func (f *fakeStore) Announce(_ context.Context, boxes ...Box) error {
-	if f.now().failing {
+	if f.current().failing {
 		return errStoreDown
 	}
 	f.change(func(s *fakeState) {
@@ -144,7 +144,7 @@
 func (f *fakeStore) ReadQuarantine(context.Context) ([]QuarantinedRequest, error)      { return nil, nil }
 func (f *fakeStore) WriteQuarantine(context.Context, []quarantine.StoredRequest) error { return nil }
 func (f *fakeStore) Boxes(context.Context, string, int) ([]ListedBox, error) {
-	return f.now().boxes, nil
+	return f.current().boxes, nil
 }
 func (f *fakeStore) RolloutStatus(context.Context, string) (RolloutStatus, error) {
 	return RolloutStatus{}, nil
@@ -198,11 +198,11 @@
 func start(t *testing.T, store *fakeStore, polled func(*Registry), configure ...func(*Registry)) (r *Registry, stop func()) {
 	t.Helper()
 	r = &Registry{
-		Store:      store,
-		Log:        zap.NewNop(),
-		Changed:    func() {},
-		FoundBoxes: func([]Box) {},
-		Peers:      func() int { return 0 },
+		Store:               store,
+		Log:                 zap.NewNop(),
+		Changed:             func() {},
+		FoundBoxes:          func([]Box) {},
+		CountOtherFollowers: func() int { return 0 },
 	}
 	r.Polled = func() { polled(r) }
 	for _, set := range configure {
@@ -220,7 +220,7 @@
 }
 
 // applyReadNow applies a read of the store that took no time.
-func (r *Registry) applyReadNow(entries []Entry, version epoch.Version, full bool, now time.Time) (passedOver int) {
+func (r *Registry) applyReadNow(entries []Entry, version epoch.Version, full bool, now time.Time) (ignoredOutdated int) {
 	return r.applyRead(entries, r.Position(), version, full, now)
 }
 
@@ -457,11 +457,11 @@
 	const cutOff, rounds = 3, 20
 	for range rounds {
 		synctest.Test(t, func(t *testing.T) {
-			well := &fakeStore{}
-			well.change(func(s *fakeState) { s.put("a", 1) })
-			other, stop := start(t, well, func(*Registry) {})
+			reachable := &fakeStore{}
+			reachable.change(func(s *fakeState) { s.put("a", 1) })
+			other, stop := start(t, reachable, func(*Registry) {})
 			defer stop()
-			stores := []*fakeStore{well}
+			stores := []*fakeStore{reachable}
 			for range cutOff {
 				store := &fakeStore{}
 				store.change(func(s *fakeState) { s.put("a", 1) })
--- a/pkg/registry/restored.go
+++ b/pkg/registry/restored.go
@@ -37,10 +37,10 @@
 	}
 }
 
-func (r *Registry) logRestored(before, now epoch.Version, from string) {
+func (r *Registry) logRestored(before, after epoch.Version, from string) {
 	r.Log.Warn("the store was restored from a copy",
 		zap.Stringer("Before", before),
-		zap.Stringer("Now", now),
+		zap.Stringer("Now", after),
 		zap.String("From", from))
 }
 
@@ -69,7 +69,7 @@
 	r.put(entry)
 	delete(r.inGrace, entry.ID)
 	r.held[entry.ID] = now.Add(restoreHoldDelay)
-	if r.quiet {
+	if r.summaryOnly {
 		return
 	}
 	r.Log.Info("endpoint stays gone, though the restored store lists it",
@@ -77,7 +77,7 @@
 		zap.Stringer("Version", entry.Version))
 }
 
-func (r *Registry) hasHeld() bool {
+func (r *Registry) hasHolds() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.held) > 0
--- a/pkg/registry/restored_test.go
+++ b/pkg/registry/restored_test.go
@@ -40,7 +40,7 @@
 
 // writeState has a server write its state if it has not ended.
 func (s *restorableStore) writeState(id string) {
-	if server, lives := s.servers[id]; lives {
+	if server, running := s.servers[id]; running {
 		s.write(id, func(e *Entry) { e.Gone, e.Endpoint = false, server })
 	}
 }
@@ -79,7 +79,7 @@
 		entry := from.entries[id]
 		entry.Version = epoch.Join(at, entry.Version.Counter())
 		s.entries[id] = entry
-		if _, lives := s.servers[id]; !lives && !entry.Gone {
+		if _, running := s.servers[id]; !running && !entry.Gone {
 			s.schedule(rowTTL, func() { s.remove(id) })
 		}
 	}
@@ -95,11 +95,11 @@
 type restoredBox struct {
 	*Registry
 	// left are the endpoints that this box has known to leave or to be gone.
-	left map[string]bool
+	departed map[string]bool
 }
 
 func newRestoredBox() *restoredBox {
-	return &restoredBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}, left: map[string]bool{}}
+	return &restoredBox{Registry: &Registry{Log: zap.NewNop(), Changed: func() {}}, departed: map[string]bool{}}
 }
 
 func (b *restoredBox) poll(store *restorableStore) {
@@ -115,7 +115,7 @@
 func (b *restoredBox) receive(other *restoredBox) {
 	reported, _ := other.Departures(0, "", time.Now())
 	b.OfferDepartures(reported, "other", time.Now())
-	if _, ask := b.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); ask {
+	if _, shouldFetch := b.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); shouldFetch {
 		entries, knowledge, _ := other.EntriesSince(b.Position())
 		b.OfferEntries(valuesOf(entries), knowledge, "other")
 	}
@@ -149,16 +149,16 @@
 		admitted[endpoint.ID] = endpoint.Admits()
 	}
 	for _, id := range slices.Sorted(maps.Keys(store.entries)) {
-		server, lives := store.servers[id]
-		if lives && !server.Leaving {
+		server, running := store.servers[id]
+		if running && !server.Leaving {
 			continue
 		}
 		entry, known := b.entries.find(id)
 		row := store.entries[id]
 		if known && (entry.Leaving || (row.Gone && entry.Gone && entry.Version >= row.Version)) {
-			b.left[id] = true
+			b.departed[id] = true
 		}
-		if b.left[id] && admitted[id] {
+		if b.departed[id] && admitted[id] {
 			return id
 		}
 	}
@@ -257,7 +257,7 @@
 func TestRestoredRows(t *testing.T) {
 	at := func(epochs, counter uint64) epoch.Version { return epoch.Join(epochs, counter) }
 	Convey("An entry that the copy lacks is used for as long as its server may take to write it again", t, func() {
-		for _, back := range []bool{true, false} {
+		for _, rewritten := range []bool{true, false} {
 			r := newRegistry()
 			now := time.Now().Add(-time.Minute)
 			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(1, 5)}, {Endpoint: endpointOf("b"), Version: at(1, 9)}}, at(1, 9), true, now)
@@ -269,18 +269,18 @@
 			entries, knowledge, _ := r.EntriesSince(0)
 			receiver.OfferEntries(valuesOf(entries), knowledge, "sender")
 			So(has(receiver, "b"), ShouldBeTrue)
-			if back {
+			if rewritten {
 				r.applyReadNow([]Entry{{Endpoint: endpointOf("b"), Version: at(2, 7)}}, at(2, 7), false, now.Add(time.Second))
 			}
 			receiver.update(now.Add(defaultMaxLeavingDelay-graceMargin), func() bool { return false })
 			So(has(receiver, "b"), ShouldBeFalse)
 			r.update(now.Add(defaultMaxLeavingDelay-graceMargin), func() bool { return false })
-			So(has(r, "b"), ShouldEqual, back)
+			So(has(r, "b"), ShouldEqual, rewritten)
 			So(r.Knowledge().Known.Epoch(), ShouldEqual, 2)
 		}
 	})
 	Convey("An entry that is gone stays so for a while, or until it is written again", t, func() {
-		for _, back := range []bool{true, false} {
+		for _, rewritten := range []bool{true, false} {
 			r := newRegistry()
 			r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(1, 5)}}, at(1, 5), true, baseTime)
 			gone := Entry{Endpoint: endpointOf("a"), Version: at(1, 9), Gone: true}
@@ -291,14 +291,14 @@
 			entries, knowledge, _ := r.EntriesSince(0)
 			receiver.OfferEntries(valuesOf(entries), knowledge, "sender")
 			So(has(receiver, "a"), ShouldBeFalse)
-			So(receiver.hasHeld(), ShouldBeTrue)
-			if back {
+			So(receiver.hasHolds(), ShouldBeTrue)
+			if rewritten {
 				r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: at(2, 10)}}, at(2, 10), false, baseTime)
 				So(has(r, "a"), ShouldBeTrue)
 			}
 			r.update(baseTime.Add(restoreHoldDelay), func() bool { return false })
 			So(has(r, "a"), ShouldBeTrue)
-			So(r.hasHeld(), ShouldBeFalse)
+			So(r.hasHolds(), ShouldBeFalse)
 		}
 	})
 	Convey("A later instance is used at once, and an earlier one ignored", t, func() {
@@ -359,7 +359,7 @@
 					_, stop := start(t, store, func(*Registry) {}, func(r *Registry) {
 						r.Self = all[i]
 						r.LiveBoxes = func() []Box { return all }
-						r.Peers = func() int { return followers - 1 }
+						r.CountOtherFollowers = func() int { return followers - 1 }
 					})
 					defer stop()
 				}
@@ -376,13 +376,13 @@
 				time.Sleep(time.Second)
 				store.change(func(s *fakeState) { s.failing = false })
 				time.Sleep(maxFleetRetryDelay + maxRewriteDelay + 2*time.Second)
-				now := store.now()
+				state := store.current()
 				names := map[string]int{}
-				for _, row := range now.boxes {
+				for _, row := range state.boxes {
 					names[row.Name]++
 				}
 				So(names, ShouldHaveLength, boxes)
-				So(now.announced, ShouldBeLessThanOrEqualTo, 2*(boxes/100+1))
+				So(state.announced, ShouldBeLessThanOrEqualTo, 2*(boxes/100+1))
 			})
 		})
 	}
--- a/pkg/registry/rewrite.go
+++ b/pkg/registry/rewrite.go
@@ -24,7 +24,7 @@
 // followRestores writes again the rows of boxes and requests that are missing after a restore,
 // until the context ends. Only boxes that read the endpoints notice a restore.
 func (r *Registry) followRestores(ctx context.Context) error {
-	retry := backoff{peers: r.Peers}
+	retry := backoff{countOtherFollowers: r.CountOtherFollowers}
 	for {
 		select {
 		case <-ctx.Done():
--- a/pkg/registry/slow_answers_test.go
+++ b/pkg/registry/slow_responses_test.go
@@ -12,7 +12,7 @@
 )
 
 // answer is a pending answer of the store or of another box.
-type answer struct {
+type response struct {
 	box *Registry
 	// apply merges the answer.
 	apply func()
@@ -21,9 +21,9 @@
 // slowHistory is a random history of a fleet whose calls take time.
 type slowHistory struct {
 	*rand.Rand
-	store   versionedStore
-	boxes   []*Registry
-	answers []answer
+	store     versionedStore
+	boxes     []*Registry
+	responses []response
 }
 
 const (
@@ -43,21 +43,21 @@
 	if !full {
 		entries = h.store.since(since)
 	}
-	h.answers = append(h.answers, answer{box: box, apply: func() {
+	h.responses = append(h.responses, response{box: box, apply: func() {
 		box.applyRead(entries, since, version, full, time.Now())
 	}})
 }
 
 // receive has a box receive the knowledge of another one and request the entries that changed.
 func (h *slowHistory) receive(box, other *Registry) {
-	if _, ask := box.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); !ask {
+	if _, shouldFetch := box.ReceiveKnowledge(other.Knowledge(), other.NewestVersion()); !shouldFetch {
 		return
 	}
 	name := slices.Index(h.boxes, other)
-	h.answers = append(h.answers, answer{box: box, apply: func() {
+	h.responses = append(h.responses, response{box: box, apply: func() {
 		// The other box may have restarted.
 		entries, knowledge, _ := h.boxes[name].EntriesSince(box.Position())
-		h.answers = append(h.answers, answer{box: box, apply: func() { box.OfferEntries(valuesOf(entries), knowledge, "other") }})
+		h.responses = append(h.responses, response{box: box, apply: func() { box.OfferEntries(valuesOf(entries), knowledge, "other") }})
 	}})
 }
 
@@ -82,16 +82,16 @@
 	case 5:
 		if h.IntN(4) == 0 {
 			restarted := h.IntN(len(h.boxes))
-			h.answers = slices.DeleteFunc(h.answers, func(a answer) bool { return a.box == h.boxes[restarted] })
+			h.responses = slices.DeleteFunc(h.responses, func(a response) bool { return a.box == h.boxes[restarted] })
 			h.boxes[restarted] = newRegistry()
 		}
 	case 6, 7, 8:
 		h.receive(h.box(), h.box())
 	default:
-		if len(h.answers) > 0 {
-			at := h.IntN(len(h.answers))
-			due := h.answers[at]
-			h.answers = slices.Delete(h.answers, at, at+1)
+		if len(h.responses) > 0 {
+			at := h.IntN(len(h.responses))
+			due := h.responses[at]
+			h.responses = slices.Delete(h.responses, at, at+1)
 			due.apply()
 		}
 	}
--- a/pkg/registry/start_turns_test.go
+++ b/pkg/registry/start_turns_test.go
@@ -49,8 +49,8 @@
 		f.boxes = append(f.boxes, &Registry{
 			Store: store, Log: zap.NewNop(),
 			Changed: func() {}, FoundBoxes: func([]Box) {}, Polled: func() {}, StoreLost: func(bool) {},
-			Peers:   func() int { return restartedBoxes - 1 },
-			Follows: func() bool { return i < 2 }, LostElsewhere: func() bool { return false },
+			CountOtherFollowers: func() int { return restartedBoxes - 1 },
+			IsFollower:          func() bool { return i < 2 }, IsStoreLostElsewhere: func() bool { return false },
 			StartRank: func() int { return i },
 		})
 	}
--- a/pkg/registry/store.go
+++ b/pkg/registry/store.go
@@ -98,7 +98,7 @@
 	// Endpoints reads all entries.
 	Endpoints(ctx context.Context) (entries []Entry, version epoch.Version, err error)
 	// EndpointsSince reads the changes after the version, without waiting.
-	EndpointsSince(ctx context.Context, version epoch.Version) (entries []Entry, now epoch.Version, err error)
+	EndpointsSince(ctx context.Context, since epoch.Version) (entries []Entry, version epoch.Version, err error)
 	// Announce writes the rows of boxes.
 	Announce(ctx context.Context, boxes ...Box) error
 	// Boxes reads the rows of all boxes. If limit is over 0, it reads at most that many, with few
