--- a/cmd/quaybench/cmds/soak.go
+++ b/cmd/quaybench/cmds/soak.go
@@ -62,7 +62,7 @@
 		cleanup()
 	}
 	fmt.Fprintf(out, "soak seed %d: %d faults, %d requests, %d answered, %d broken: %s\n",
-		run.Seed, verdict.Faults, verdict.Requests, verdict.Answered, len(verdict.Violations), outcome)
+		run.Seed, verdict.Faults, verdict.Requests, verdict.Completed, len(verdict.Violations), outcome)
 	if len(verdict.Violations) > 0 {
 		return errGuaranteeViolated
 	}
--- a/cmd/quaybench/experiment/experiment.go
+++ b/cmd/quaybench/experiment/experiment.go
@@ -205,7 +205,7 @@
 			}
 		}
 	}
-	defaults := settings.DefaultDefaults().Pool
+	defaults := settings.BuiltinDefaults().Pool
 	return measure.Input{
 		Records:      records,
 		Truth:        events,
--- a/cmd/quaybench/fleet/fleet_test.go
+++ b/cmd/quaybench/fleet/fleet_test.go
@@ -202,11 +202,11 @@
 
 			Convey("a repeat gets the stored outcome from every router", func() {
 				first := caller.Call(t.Context(), load.Arrival{ID: "r0", Key: "r", Source: plainSource})
-				So(first.Whole, ShouldBeTrue)
+				So(first.Complete, ShouldBeTrue)
 				for router := range 3 {
-					again := caller.Call(t.Context(), load.Arrival{ID: "again", Key: "r", Router: router, Source: plainSource})
-					So(again.Status, ShouldEqual, 200)
-					So(again.Runs, ShouldEqual, 1)
+					repeat := caller.Call(t.Context(), load.Arrival{ID: "again", Key: "r", Router: router, Source: plainSource})
+					So(repeat.Status, ShouldEqual, 200)
+					So(repeat.Runs, ShouldEqual, 1)
 				}
 				So(countEvents(f, truth.Started, ofKey("r")), ShouldEqual, 1)
 			})
@@ -252,7 +252,7 @@
 			Convey("requests are answered by the other engine, and once routers know, none is sent to the leaving one", func() {
 				call := func(id string) {
 					record := caller.Call(t.Context(), load.Arrival{ID: id, Input: 10, Output: 3, Source: modelSource})
-					So(record.Whole, ShouldBeTrue)
+					So(record.Complete, ShouldBeTrue)
 				}
 				for i := range 20 {
 					call(fmt.Sprintf("early-%d", i))
@@ -282,7 +282,7 @@
 			Convey("a planned stop finishes all of them and the process exits with status 0", func() {
 				So(f.Routers[0].Terminate(), ShouldBeNil)
 				for _, wait := range waits {
-					So(wait().Whole, ShouldBeTrue)
+					So(wait().Complete, ShouldBeTrue)
 				}
 				So(f.Routers[0].Wait(), ShouldEqual, 0)
 			})
--- a/cmd/quaybench/load/caller.go
+++ b/cmd/quaybench/load/caller.go
@@ -153,7 +153,7 @@
 		return
 	}
 	r.CleanEOF = true
-	r.Whole = done && r.Tokens == r.Output && !r.Crossed
+	r.Complete = done && r.Tokens == r.Output && !r.Crossed
 }
 
 // plainResponse is the response body of a stand-in for a plain service.
@@ -182,7 +182,7 @@
 	} else {
 		r.Crossed = r.Crossed || response.Key != r.Key
 	}
-	r.Whole = !r.Crossed
+	r.Complete = !r.Crossed
 }
 
 type refusalBody struct {
--- a/cmd/quaybench/load/load.go
+++ b/cmd/quaybench/load/load.go
@@ -146,7 +146,7 @@
 	// of it.
 	CleanEOF bool
 	// Whole reports whether the response was complete.
-	Whole bool
+	Complete bool
 	// Crossed reports whether the response held data of another request.
 	Crossed bool
 	// Runs is how often the call ran, as reported by the plain service.
--- a/cmd/quaybench/matrix/matrix.go
+++ b/cmd/quaybench/matrix/matrix.go
@@ -259,7 +259,7 @@
 					Source:  source,
 					Timeout: requestTimeout,
 				})
-				if !record.Whole {
+				if !record.Complete {
 					return false, nil
 				}
 			}
--- a/cmd/quaybench/measure/measure.go
+++ b/cmd/quaybench/measure/measure.go
@@ -184,7 +184,7 @@
 		switch {
 		case record.Crossed:
 			result.CrossedAnswers++
-		case record.Whole:
+		case record.Complete:
 			result.Whole++
 		case record.Status == 200 && record.CleanEOF:
 			result.CutAnswers++
--- a/cmd/quaybench/soak/caller.go
+++ b/cmd/quaybench/soak/caller.go
@@ -24,7 +24,7 @@
 	sent, ended time.Time
 	status      int
 	// answeredID is the request ID in the response; empty if it has none.
-	answeredID string
+	responseID string
 	body       string
 	// err is set if the response was cut or none came.
 	err error
@@ -163,7 +163,7 @@
 	response := &fasthttp.Response{}
 	err := response.Read(c.reader)
 	got.status = response.StatusCode()
-	got.answeredID = standin.RequestIDOf(response)
+	got.responseID = standin.RequestIDOf(response)
 	got.body = string(response.Body())
 	if err == nil && response.ConnectionClose() {
 		c.disconnect()
@@ -184,13 +184,13 @@
 	w.outcomes = append(w.outcomes, got)
 }
 
-func (w *world) countOutcomes() (requests, answered int) {
+func (w *world) countOutcomes() (requests, completed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.outcomes {
 		if w.outcomes[i].err == nil && w.outcomes[i].status == fasthttp.StatusOK {
-			answered++
+			completed++
 		}
 	}
-	return len(w.outcomes), answered
+	return len(w.outcomes), completed
 }
--- a/cmd/quaybench/soak/check.go
+++ b/cmd/quaybench/soak/check.go
@@ -45,7 +45,7 @@
 		for _, violation := range got.violations(runs[got.id]) {
 			violations = append(violations, got.describe(violation))
 		}
-		if violation := w.cutByStop(got, runs[got.id]); violation != "" {
+		if violation := w.checkCutByStop(got, runs[got.id]); violation != "" {
 			violations = append(violations, got.describe(violation))
 		}
 	}
@@ -72,8 +72,8 @@
 	if o.err == nil && o.status == fasthttp.StatusOK && o.body != o.expectedBody() {
 		violations = append(violations, fmt.Sprintf("its response is not the complete one: %d bytes of %d, %q at the end", len(o.body), len(o.expectedBody()), tail(o.body)))
 	}
-	if o.answeredID != "" && o.answeredID != o.id {
-		violations = append(violations, "it got the response of "+o.answeredID)
+	if o.responseID != "" && o.responseID != o.id {
+		violations = append(violations, "it got the response of "+o.responseID)
 	}
 	if o.err == nil && meansNotRun(o.status) && len(runs) > 0 {
 		violations = append(violations, "it was reported as not run, but ran at "+runs[0].Server)
@@ -114,11 +114,11 @@
 
 // cutByStop describes the violation if the request ran and a planned stop cut its response;
 // otherwise it returns "".
-func (w *world) cutByStop(o *outcome, runs []standin.Run) string {
+func (w *world) checkCutByStop(o *outcome, runs []standin.Run) string {
 	if o.err == nil || len(runs) == 0 {
 		return ""
 	}
-	if w.sharedFaultTimes.overlaps(o.sent, o.ended) || o.box.hadFault(o.incarnation, o.sent, o.ended) {
+	if w.sharedFaultTimes.overlaps(o.sent, o.ended) || o.box.hasFaultBetween(o.incarnation, o.sent, o.ended) {
 		return ""
 	}
 	for _, stop := range o.box.stops {
@@ -131,7 +131,7 @@
 
 // hadFault reports whether a box had a fault between from and to, in one of its incarnations.
 // The start of the next incarnation does not count.
-func (b *box) hadFault(incarnation int, from, to time.Time) bool {
+func (b *box) hasFaultBetween(incarnation int, from, to time.Time) bool {
 	if b.starts > incarnation {
 		for _, stop := range b.stops {
 			if stop.incarnation == incarnation {
@@ -139,12 +139,12 @@
 			}
 		}
 	}
-	return b.faultTimes.overlaps(from, to) && !b.onlyRestarted(incarnation, from, to)
+	return b.faultTimes.overlaps(from, to) && !b.isOnlyRestart(incarnation, from, to)
 }
 
 // onlyRestarted reports whether the only fault between from and to is the start after a planned
 // stop.
-func (b *box) onlyRestarted(incarnation int, from, to time.Time) bool {
+func (b *box) isOnlyRestart(incarnation int, from, to time.Time) bool {
 	stopped := slices.IndexFunc(b.stops, func(s stop) bool { return s.incarnation == incarnation })
 	if stopped < 0 {
 		return false
--- a/cmd/quaybench/soak/check_test.go
+++ b/cmd/quaybench/soak/check_test.go
@@ -19,11 +19,11 @@
 )
 
 // answeredLookup returns the outcome of a lookup that got a complete response.
-func answeredLookup(b *box) outcome {
+func completedLookup(b *box) outcome {
 	return outcome{
 		id: "1", path: "/look/1", kind: standin.Lookup, box: b, incarnation: 1,
 		sent: start, ended: start.Add(time.Second),
-		status: 200, answeredID: "1", body: "answer to 1",
+		status: 200, responseID: "1", body: "answer to 1",
 	}
 }
 
@@ -33,42 +33,42 @@
 func TestChecksFail(t *testing.T) {
 	ran := []standin.Run{{ID: "1", Server: "api-1", Began: start}}
 	Convey("A request that was answered correctly is no violation", t, func() {
-		o := answeredLookup(&box{})
+		o := completedLookup(&box{})
 		So(o.violations(ran), ShouldBeEmpty)
 	})
 	for name, spoil := range map[string]func(*outcome){
 		"an incomplete response":          func(o *outcome) { o.body = "answer" },
-		"the response of another request": func(o *outcome) { o.answeredID = "2" },
+		"the response of another request": func(o *outcome) { o.responseID = "2" },
 		"a false report of not run":       func(o *outcome) { o.status = 503 },
 		"a stream without its last part":  func(o *outcome) { o.kind, o.body = standin.Stream, standin.Event("1", 1) },
 	} {
 		Convey("It is found: "+name, t, func() {
-			o := answeredLookup(&box{})
+			o := completedLookup(&box{})
 			spoil(&o)
 			So(o.violations(ran), ShouldHaveLength, 1)
 		})
 	}
 	Convey("A booking that ran twice is found", t, func() {
-		o := answeredLookup(&box{})
+		o := completedLookup(&box{})
 		o.kind = standin.Booking
 		So(o.violations(append(ran, ran...)), ShouldHaveLength, 1)
 	})
 	Convey("A response cut by a planned stop is a violation; one cut by a kill is not", t, func() {
 		b := &box{starts: 2, stops: []stop{{incarnation: 1, began: at(0.5)}}}
 		w := &world{}
-		o := answeredLookup(b)
+		o := completedLookup(b)
 		o.err = errCut
-		So(w.cutByStop(&o, ran), ShouldNotBeEmpty)
-		So(w.cutByStop(&o, nil), ShouldBeEmpty)
+		So(w.checkCutByStop(&o, ran), ShouldNotBeEmpty)
+		So(w.checkCutByStop(&o, nil), ShouldBeEmpty)
 		b.faultTimes = spans{{from: at(2), to: at(6)}}
-		So(w.cutByStop(&o, ran), ShouldNotBeEmpty)
+		So(w.checkCutByStop(&o, ran), ShouldNotBeEmpty)
 		b.faultTimes = spans{{from: at(0.2), to: at(4)}}
-		So(w.cutByStop(&o, ran), ShouldBeEmpty)
+		So(w.checkCutByStop(&o, ran), ShouldBeEmpty)
 	})
 	Convey("Work sent to a server long after it left is found, unless the box may not have been informed", t, func() {
 		b := &box{starts: 1}
 		left := &server{Server: &standin.Server{ID: "api-1"}, leftAt: at(-10)}
-		w := &world{servers: []*server{left}, outcomes: []outcome{answeredLookup(b)}}
+		w := &world{servers: []*server{left}, outcomes: []outcome{completedLookup(b)}}
 		runs := map[string][]standin.Run{"1": ran}
 		So(w.checkLeaving(runs), ShouldHaveLength, 1)
 		b.faultTimes = spans{{from: at(-5), to: at(-1)}}
@@ -78,7 +78,7 @@
 	})
 	Convey("A return to an older configuration, and a late configuration, are found", t, func() {
 		b := &box{starts: 1}
-		present, absent := answeredLookup(b), answeredLookup(b)
+		present, absent := completedLookup(b), completedLookup(b)
 		present.probedVersion, absent.probedVersion = 2, 2
 		absent.status, absent.sent, absent.ended = 404, at(2), at(3)
 		w := &world{outcomes: []outcome{present, absent}, acceptedAt: map[int]time.Time{2: at(1.5)}}
@@ -92,7 +92,7 @@
 	})
 	Convey("A refusal by a box without a configuration does not show that a version is in force; any other refusal does", t, func() {
 		b := &box{starts: 1}
-		refused, absent := answeredLookup(b), answeredLookup(b)
+		refused, absent := completedLookup(b), completedLookup(b)
 		refused.probedVersion, absent.probedVersion = 2, 2
 		refused.status, refused.body = 503, `{"Code":"not_ready","Message":"this box has no configuration yet"}`
 		absent.status, absent.sent, absent.ended = 404, at(2), at(3)
@@ -105,13 +105,13 @@
 		b := &box{}
 		b.LogFile = filepath.Join(t.TempDir(), "box.log")
 		So(os.WriteFile(b.LogFile, []byte("Event=\"request refused\" Request=1 Code=overloaded\n"), 0o644), ShouldBeNil)
-		logged, missing := answeredLookup(b), answeredLookup(b)
+		logged, missing := completedLookup(b), completedLookup(b)
 		logged.status, missing.status, missing.id = 503, 503, "2"
-		So(checkLogged([]outcome{logged, answeredLookup(b)}, b), ShouldBeEmpty)
+		So(checkLogged([]outcome{logged, completedLookup(b)}, b), ShouldBeEmpty)
 		So(checkLogged([]outcome{logged, missing}, b), ShouldHaveLength, 1)
 	})
 	Convey("A customer or a box that is not served after the faults is found", t, func() {
-		served, starved := answeredLookup(&box{}), answeredLookup(&box{})
+		served, starved := completedLookup(&box{}), completedLookup(&box{})
 		starved.customer, starved.status = 1, 503
 		boxes := []*box{served.box, starved.box}
 		So(checkService([]outcome{served, starved}, boxes, start.Add(-time.Second)), ShouldHaveLength, 2)
@@ -150,7 +150,7 @@
 func TestWordsChecked(t *testing.T) {
 	b := &box{starts: 1}
 	sent := func(id string, after float64) outcome {
-		o := answeredLookup(b)
+		o := completedLookup(b)
 		o.id, o.sent, o.ended = id, at(after), at(after+0.1)
 		return o
 	}
--- a/cmd/quaybench/soak/crash.go
+++ b/cmd/quaybench/soak/crash.go
@@ -117,7 +117,7 @@
 	}
 	for body, runs := range byBody {
 		slices.SortFunc(runs, func(a, b standin.Run) int { return a.Began.Compare(b.Began) })
-		if w.anyBoxFault(runs[0].Began, runs[len(runs)-1].Began) {
+		if w.hasBoxFault(runs[0].Began, runs[len(runs)-1].Began) {
 			continue
 		}
 		if ended := crashedEngines(runs); ended > quarantine.MaxEnds {
@@ -160,6 +160,6 @@
 
 // anyBoxFault reports whether some box may have been cut off at some time between from and to.
 // The caller holds the lock.
-func (w *world) anyBoxFault(from, to time.Time) bool {
+func (w *world) hasBoxFault(from, to time.Time) bool {
 	return slices.ContainsFunc(w.boxes, func(b *box) bool { return b.faultTimes.overlaps(from, to) })
 }
--- a/cmd/quaybench/soak/faults.go
+++ b/cmd/quaybench/soak/faults.go
@@ -222,7 +222,7 @@
 	case 1:
 		return storeFault{description: "silent", fault: standin.StoreFault{Silent: true}}
 	case 2:
-		return storeFault{description: "loses answers", fault: standin.StoreFault{LoseAnswers: true}}
+		return storeFault{description: "loses answers", fault: standin.StoreFault{LoseResponses: true}}
 	case 3:
 		return storeFault{description: "slow", fault: standin.StoreFault{Delay: time.Duration(50+rng.IntN(800)) * time.Millisecond}}
 	default:
--- a/cmd/quaybench/soak/soak.go
+++ b/cmd/quaybench/soak/soak.go
@@ -35,8 +35,8 @@
 type Verdict struct {
 	// Requests counts the requests that were sent, Answered those of them that got a
 	// complete response with status 200.
-	Requests, Answered int
-	Faults             int
+	Requests, Completed int
+	Faults              int
 	// Violations are the guarantees that were not kept, one line each.
 	Violations []string
 }
@@ -82,7 +82,7 @@
 	_ = callers.Wait()
 	// A request that was reported as not run may still run wrongly a little later.
 	_ = interval.Wait(ctx, time.Second)
-	verdict.Requests, verdict.Answered = w.countOutcomes()
+	verdict.Requests, verdict.Completed = w.countOutcomes()
 	verdict.Violations = w.check(calmFrom.Add(calmPeriod / 2))
 	return verdict, ctx.Err()
 }
--- a/cmd/quaybench/soak/soak_test.go
+++ b/cmd/quaybench/soak/soak_test.go
@@ -23,6 +23,6 @@
 		So(err, ShouldBeNil)
 		So(verdict.Violations, ShouldBeEmpty)
 		So(verdict.Faults, ShouldBeGreaterThan, 0)
-		So(verdict.Answered, ShouldBeGreaterThan, 0)
+		So(verdict.Completed, ShouldBeGreaterThan, 0)
 	})
 }
--- a/cmd/quayctl/cmds/boxes.go
+++ b/cmd/quayctl/cmds/boxes.go
@@ -69,7 +69,7 @@
 }
 
 // allBoxes reads the status of a box and of every other box that it lists as a member.
-func (o *options) allBoxes() (rows []boxRow, err error) {
+func (o *options) fetchBoxes() (rows []boxRow, err error) {
 	first, err := fetchStatus(o.box)
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 		Short: "Show every live box and the revision in force on it",
 		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, args []string) error {
-			rows, err := opts.allBoxes()
+			rows, err := opts.fetchBoxes()
 			if err != nil {
 				return err
 			}
@@ -140,7 +140,7 @@
 			"of the settings; mark it so in the tree as well, or the next apply takes it back.",
 		Args: exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			rows, err := opts.allBoxes()
+			rows, err := opts.fetchBoxes()
 			if err != nil {
 				return err
 			}
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	head, fleet, err := acceptedFleet(repository)
+	head, fleet, err := readAcceptedFleet(repository)
 	if err != nil {
 		return err
 	}
--- a/cmd/quayctl/cmds/losses.go
+++ b/cmd/quayctl/cmds/losses.go
@@ -52,7 +52,7 @@
 			lines = append(lines, line)
 		}
 	}
-	badLines, err := readLogs(in, files, add)
+	malformed, err := readLogs(in, files, add)
 	if err != nil {
 		return err
 	}
@@ -61,29 +61,29 @@
 	} else {
 		printLines(out, lines)
 	}
-	if badLines > 0 {
-		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", badLines)
+	if malformed > 0 {
+		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", malformed)
 	}
 	return err
 }
 
 // readLogs reads log files, each of which is named after its box, or standard input if there are
 // none. It returns the number of lines that it could not parse.
-func readLogs(in io.Reader, files []string, add func(loss.Line)) (badLines int, err error) {
+func readLogs(in io.Reader, files []string, add func(loss.Line)) (malformed int, err error) {
 	if len(files) == 0 {
 		return loss.Read(in, "", add)
 	}
 	for _, name := range files {
 		count, err := readLog(name, add)
 		if err != nil {
-			return badLines, err
+			return malformed, err
 		}
-		badLines += count
+		malformed += count
 	}
-	return badLines, nil
+	return malformed, nil
 }
 
-func readLog(name string, add func(loss.Line)) (badLines int, err error) {
+func readLog(name string, add func(loss.Line)) (malformed int, err error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return 0, err
--- a/cmd/quayctl/cmds/settings.go
+++ b/cmd/quayctl/cmds/settings.go
@@ -42,7 +42,7 @@
 			if err != nil {
 				return err
 			}
-			_, accepted, err := acceptedFleet(repository)
+			_, accepted, err := readAcceptedFleet(repository)
 			if err != nil {
 				return err
 			}
@@ -65,16 +65,16 @@
 }
 
 // acceptedFleet reads the accepted settings; fleet is nil if there are none.
-func acceptedFleet(repository revision.Repository) (head revision.Head, fleet *settings.Fleet, err error) {
+func readAcceptedFleet(repository revision.Repository) (head revision.Head, fleet *settings.Fleet, err error) {
 	head, _, err = repository.Head()
 	if err != nil || head.Revision == 0 {
 		return head, nil, err
 	}
-	fleet, err = fleetOf(repository, head)
+	fleet, err = readFleet(repository, head)
 	return head, fleet, err
 }
 
-func fleetOf(repository revision.Repository, head revision.Head) (*settings.Fleet, error) {
+func readFleet(repository revision.Repository, head revision.Head) (*settings.Fleet, error) {
 	snapshot, err := repository.Snapshot(head)
 	if err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 	if conflict.Found.Revision == 0 {
 		return conflict
 	}
-	found, err := fleetOf(repository, conflict.Found)
+	found, err := readFleet(repository, conflict.Found)
 	if err != nil {
 		return trace.NewAggregate(conflict, err)
 	}
@@ -182,7 +182,7 @@
 func (o *options) awaitInForce(command *cobra.Command, number uint64) error {
 	deadline := time.Now().Add(waitTimeout)
 	for {
-		rows, err := o.allBoxes()
+		rows, err := o.fetchBoxes()
 		if err != nil {
 			return err
 		}
@@ -243,7 +243,7 @@
 }
 
 // entryOf reads the history entry of a revision; 0 means the accepted one.
-func entryOf(repository revision.Repository, number uint64) (revision.Head, error) {
+func readEntry(repository revision.Repository, number uint64) (revision.Head, error) {
 	if number > 0 {
 		return repository.Entry(number)
 	}
@@ -265,14 +265,14 @@
 			if err != nil {
 				return err
 			}
-			head, err := entryOf(repository, number)
+			head, err := readEntry(repository, number)
 			if err != nil {
 				return err
 			}
 			if head.Revision == 0 {
 				return trace.NotFound("no settings were accepted yet")
 			}
-			fleet, err := fleetOf(repository, head)
+			fleet, err := readFleet(repository, head)
 			if err != nil {
 				return err
 			}
@@ -330,7 +330,7 @@
 			if err != nil {
 				return err
 			}
-			fleet, err := fleetOf(repository, entry)
+			fleet, err := readFleet(repository, entry)
 			if err != nil {
 				return err
 			}
--- a/cmd/quayctl/cmds/shares.go
+++ b/cmd/quayctl/cmds/shares.go
@@ -29,13 +29,13 @@
 }
 
 func writeShares(out io.Writer, in io.Reader, files []string, shares *loss.Shares) error {
-	badLines, err := readLogs(in, files, shares.Add)
+	malformed, err := readLogs(in, files, shares.Add)
 	if err != nil {
 		return err
 	}
 	err = shares.Write(out)
-	if badLines > 0 {
-		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", badLines)
+	if malformed > 0 {
+		fmt.Fprintf(out, "\n%d lines were not of a box's log\n", malformed)
 	}
 	return err
 }
--- a/cmd/quaylead/cmds/commands.go
+++ b/cmd/quaylead/cmds/commands.go
@@ -70,7 +70,7 @@
 			"the process at once.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) error {
-			box, fleet, err := load(opts)
+			box, fleet, err := loadSettings(opts)
 			if err != nil {
 				return err
 			}
@@ -92,7 +92,7 @@
 		Short: "Check the settings and start nothing",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, args []string) error {
-			box, fleet, err := load(opts)
+			box, fleet, err := loadSettings(opts)
 			if err != nil || !print {
 				return err
 			}
@@ -115,7 +115,7 @@
 }
 
 // load reads the box's settings, and the settings tree if they name one.
-func load(opts *options) (box settings.Box, fleet *settings.Fleet, err error) {
+func loadSettings(opts *options) (box settings.Box, fleet *settings.Fleet, err error) {
 	if opts.file == "" {
 		return box, nil, errors.New("--settings FILE is needed")
 	}
--- a/cmd/quaystand/engine/engine.go
+++ b/cmd/quaystand/engine/engine.go
@@ -217,11 +217,11 @@
 	if !e.awaitSlot(ctx, j) {
 		return
 	}
-	prefill := e.prefill(j, prompt)
+	prefill := e.prefillDuration(j, prompt)
 	stream := &tokenStream{
 		engine:       e,
 		job:          j,
-		usage:        request.Options.IncludeUsage,
+		includeUsage: request.Options.IncludeUsage,
 		model:        request.Model,
 		next:         time.Now().Add(prefill),
 		isCallerOpen: func() bool { return endpoint.IsOpen(ctx.Conn()) },
@@ -326,7 +326,7 @@
 const prefixBytes = 512
 
 // prefill returns the time to process the part of the prompt that is not cached.
-func (e *Engine) prefill(j *job, prompt []byte) time.Duration {
+func (e *Engine) prefillDuration(j *job, prompt []byte) time.Duration {
 	hash := fnv.New64a()
 	hash.Write(prompt[:min(len(prompt), prefixBytes)])
 	e.mu.Lock()
--- a/cmd/quaystand/engine/queue.go
+++ b/cmd/quaystand/engine/queue.go
@@ -48,7 +48,7 @@
 
 // use looks a prefix up, adds it if it is missing, and returns how many of its tokens were cached
 // before.
-func (c *prefixCache) use(prefix uint64, tokens, bound int) (cached int) {
+func (c *prefixCache) use(prefix uint64, tokens, maxTokens int) (cached int) {
 	if c.tokens == nil {
 		c.tokens = map[uint64]int{}
 	}
@@ -59,7 +59,7 @@
 	c.tokens[prefix] = tokens
 	c.order = append(c.order, prefix)
 	c.used += tokens
-	for c.used > bound && len(c.order) > 0 {
+	for c.used > maxTokens && len(c.order) > 0 {
 		oldest := c.order[0]
 		c.order = c.order[1:]
 		c.used -= c.tokens[oldest]
--- a/cmd/quaystand/engine/stream.go
+++ b/cmd/quaystand/engine/stream.go
@@ -16,7 +16,7 @@
 type tokenStream struct {
 	engine       *Engine
 	job          *job
-	usage        bool
+	includeUsage bool
 	model        string
 	next         time.Time
 	isCallerOpen func() bool
@@ -86,7 +86,7 @@
 
 func (s *tokenStream) finalEvents() []byte {
 	var end strings.Builder
-	if s.usage {
+	if s.includeUsage {
 		fmt.Fprintf(&end,
 			"data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[],\"usage\":%s}\n\n",
 			s.job.id, s.model, s.usageJSON())
--- a/cmd/quaystand/plain/service.go
+++ b/cmd/quaystand/plain/service.go
@@ -32,7 +32,7 @@
 }
 
 // Answer is the body of a response.
-type Answer struct {
+type Response struct {
 	Endpoint string
 	Request  string
 	Key      string
@@ -121,7 +121,7 @@
 	if rand.Float64() < s.ErrorRate {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 	}
-	body, err := json.Marshal(Answer{
+	body, err := json.Marshal(Response{
 		Endpoint: s.Truth.Endpoint,
 		Request:  id,
 		Key:      key,
--- a/pkg/certificate/certificate_test.go
+++ b/pkg/certificate/certificate_test.go
@@ -99,9 +99,9 @@
 			So(err, ShouldBeNil)
 			So(renewed, ShouldNotEqual, before)
 			So(os.WriteFile(pair.CertificateFile, []byte("broken"), 0o600), ShouldBeNil)
-			kept, err := pair.Load()
+			current, err := pair.Load()
 			So(err, ShouldBeNil)
-			So(kept, ShouldEqual, renewed)
+			So(current, ShouldEqual, renewed)
 		})
 	})
 }
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -244,9 +244,9 @@
 			if err := r.Run(ctx); err != nil {
 				t.Fatal(err)
 			}
-			again, err := registry(store, "b").Take(t.Context(), key, "digest")
-			if _, ok := again.(claim.Stored); !ok || err != nil {
-				t.Fatalf("got %T, %v", again, err)
+			repeated, err := registry(store, "b").Take(t.Context(), key, "digest")
+			if _, ok := repeated.(claim.Stored); !ok || err != nil {
+				t.Fatalf("got %T, %v", repeated, err)
 			}
 		})
 	})
--- a/pkg/endpoint/conn.go
+++ b/pkg/endpoint/conn.go
@@ -155,16 +155,16 @@
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.idle[:0]
+	fresh := c.idle[:0]
 	for _, idle := range c.idle {
 		if idle.isFresh(false) {
-			kept = append(kept, idle)
+			fresh = append(fresh, idle)
 			continue
 		}
 		idle.Close()
 	}
-	clear(c.idle[len(kept):])
-	c.idle = kept
+	clear(c.idle[len(fresh):])
+	c.idle = fresh
 }
 
 // Retire retires the client if it has no idle connections and was not used for the given time.
--- a/pkg/endpoint/open_linux.go
+++ b/pkg/endpoint/open_linux.go
@@ -31,7 +31,7 @@
 
 // IsQuiet reports whether a connection is open and has no unread data. On a connection without
 // a request, unread data belongs to a surplus response.
-func IsQuiet(c net.Conn) bool {
+func IsReusable(c net.Conn) bool {
 	sysConn, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -40,13 +40,13 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EINTR
+		reusable = err == syscall.EAGAIN || err == syscall.EINTR
 	})
-	return quiet && err == nil
+	return reusable && err == nil
 }
 
 // AwaitClose waits until the other side of a connection has closed it or has sent data. It
--- a/pkg/endpoint/open_other.go
+++ b/pkg/endpoint/open_other.go
@@ -10,9 +10,9 @@
 	return true
 }
 
-// IsQuiet returns true: unread data is only detected on Linux. Elsewhere the request ID of a
+// IsReusable returns true: unread data is only detected on Linux. Elsewhere the request ID of a
 // response shows that it is a surplus one.
-func IsQuiet(net.Conn) bool { return true }
+func IsReusable(net.Conn) bool { return true }
 
 // AwaitClose returns false: a close is only detected on Linux. Elsewhere a failed write shows
 // that the caller disconnected.
--- a/pkg/endpoint/response.go
+++ b/pkg/endpoint/response.go
@@ -124,7 +124,7 @@
 			open, err = c.dialContext(ctx)
 			return open, false, err
 		}
-		if idle.isFresh(nonRepeatable) && idle.reader.Buffered() == 0 && IsQuiet(idle.Conn) {
+		if idle.isFresh(nonRepeatable) && idle.reader.Buffered() == 0 && IsReusable(idle.Conn) {
 			return idle, true, nil
 		}
 		idle.Close()
--- a/pkg/endpoint/silence_test.go
+++ b/pkg/endpoint/silence_test.go
@@ -14,7 +14,7 @@
 )
 
 // answerOnce responds to the first request of a connection and ignores the rest.
-func answerOnce(conn net.Conn) error {
+func respondOnce(conn net.Conn) error {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	if _, err := readRequest(reader); err != nil {
@@ -38,7 +38,7 @@
 				if err != nil {
 					return nil
 				}
-				group.Go(func() error { return answerOnce(conn) })
+				group.Go(func() error { return respondOnce(conn) })
 			}
 		})
 		defer func() { _ = group.Wait() }()
@@ -60,12 +60,12 @@
 			_, err = response.ReadAll(100)
 			return err
 		}
-		var kept []*conn
+		var idle []*conn
 		for range 3 {
 			So(call(20*time.Second), ShouldBeNil)
-			kept = append(kept, client.popIdle())
+			idle = append(idle, client.popIdle())
 		}
-		for _, one := range kept {
+		for _, one := range idle {
 			client.release(one)
 		}
 		So(call(100*time.Millisecond), ShouldNotBeNil)
--- a/pkg/pool/choose.go
+++ b/pkg/pool/choose.go
@@ -29,7 +29,7 @@
 	bestLoad := math.Inf(1)
 	preferredLoad := math.Inf(1)
 	var preferredRank uint64
-	for _, endpoint := range s.inOrder {
+	for _, endpoint := range s.sortedEndpoints {
 		if !endpoint.isAvailable(now) || s.shouldSkip(t, endpoint, now) {
 			continue
 		}
@@ -60,7 +60,7 @@
 	if !t.tried[endpoint.Name] {
 		return false
 	}
-	for _, other := range s.inOrder {
+	for _, other := range s.sortedEndpoints {
 		if !t.tried[other.Name] && other.isAvailable(now) {
 			return true
 		}
--- a/pkg/pool/fairness_test.go
+++ b/pkg/pool/fairness_test.go
@@ -63,7 +63,7 @@
 
 func newFakeFleet(routers, engines, customers int, seed uint64) *fakeFleet {
 	f := &fakeFleet{
-		rules:       settings.DefaultDefaults().Pool,
+		rules:       settings.BuiltinDefaults().Pool,
 		customers:   map[string]settings.Customer{},
 		uses:        map[string][]int{},
 		engines:     map[string]*fakeEngine{},
@@ -81,7 +81,7 @@
 	}
 	for i := range customers {
 		name := fmt.Sprintf("customer-%d", i)
-		customer := settings.DefaultDefaults().Customer
+		customer := settings.BuiltinDefaults().Customer
 		customer.Share = float64(1 + f.random.IntN(4))
 		f.customers[name] = customer
 		for router := range routers {
@@ -121,13 +121,13 @@
 	}
 }
 
-func withoutRouter(requests []engineRequest, router int) (kept []engineRequest) {
+func withoutRouter(requests []engineRequest, router int) (others []engineRequest) {
 	for _, request := range requests {
 		if request.router != router {
-			kept = append(kept, request)
+			others = append(others, request)
 		}
 	}
-	return kept
+	return others
 }
 
 func (f *fakeFleet) step(number int) {
@@ -202,7 +202,7 @@
 	done := engine.running[i]
 	engine.running = append(engine.running[:i], engine.running[i+1:]...)
 	f.service[done.Customer] += done.output * f.rules.OutputWeight
-	f.schedules[done.router].Finish(done.Ticket, pool.Answered{
+	f.schedules[done.router].Finish(done.Ticket, pool.Completed{
 		InputTokens:  done.InputTokens,
 		OutputTokens: done.output,
 		UsageKnown:   true,
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -39,10 +39,10 @@
 }
 
 // Stream records streamed tokens. It frees no room, so nothing is granted.
-func (p *Pool) Stream(t *Ticket, tokens float64) {
+func (p *Pool) RecordTokens(t *Ticket, tokens float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Schedule.Stream(t, tokens)
+	p.Schedule.RecordTokens(t, tokens)
 }
 
 // Finish records the outcome of an attempt at an endpoint.
--- a/pkg/pool/reports.go
+++ b/pkg/pool/reports.go
@@ -4,7 +4,7 @@
 
 // Report applies an endpoint's load report. A report of an empty queue proves
 // that requests sent well before it have begun.
-func (s *Schedule) Report(name string, report Report, now time.Time) {
+func (s *Schedule) ApplyReport(name string, report Report, now time.Time) {
 	endpoint := s.endpoints[name]
 	if endpoint == nil {
 		return
@@ -27,7 +27,7 @@
 }
 
 // ReportFailed records that an endpoint did not answer a request for its load.
-func (s *Schedule) ReportFailed(name string, now time.Time) {
+func (s *Schedule) RecordReportFailure(name string, now time.Time) {
 	endpoint := s.endpoints[name]
 	if endpoint == nil || now.Before(endpoint.ejectedUntil) {
 		return
@@ -38,7 +38,7 @@
 // SetLeaving applies the box list. The list lags, so it can only take work away:
 // an endpoint that reports itself that it is leaving stays without work.
 func (s *Schedule) SetLeaving(leaving map[string]bool) {
-	for _, endpoint := range s.inOrder {
+	for _, endpoint := range s.sortedEndpoints {
 		endpoint.listedLeaving = leaving[endpoint.Address]
 	}
 }
@@ -46,7 +46,7 @@
 // NoneAvailable reports whether every endpoint is leaving or ejected, and how
 // long it takes until the first ejected one is tried again.
 func (s *Schedule) NoneAvailable(now time.Time) (wait time.Duration, none bool) {
-	for _, endpoint := range s.inOrder {
+	for _, endpoint := range s.sortedEndpoints {
 		if endpoint.isAvailable(now) || endpoint.probing {
 			return 0, false
 		}
--- a/pkg/pool/schedule.go
+++ b/pkg/pool/schedule.go
@@ -31,8 +31,8 @@
 	endpoints map[string]*Endpoint
 	// inOrder holds the endpoints sorted by name, so that decisions do not depend
 	// on the order of a map.
-	inOrder []*Endpoint
-	queues  map[string]*queue
+	sortedEndpoints []*Endpoint
+	queues          map[string]*queue
 	// waiting and running count this router's tickets in the pool.
 	waiting int
 	running int
@@ -69,7 +69,7 @@
 		endpoint.Endpoint = declared
 		s.endpoints[name] = endpoint
 	}
-	s.inOrder = slices.SortedFunc(maps.Values(s.endpoints), func(a, b *Endpoint) int {
+	s.sortedEndpoints = slices.SortedFunc(maps.Values(s.endpoints), func(a, b *Endpoint) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
 	if s.queues == nil {
@@ -81,7 +81,7 @@
 
 // typicalAnswerTokens is the assumed length of the answer in each slot when the
 // maximum lead is derived from the slots.
-const typicalAnswerTokens = 256
+const typicalOutputTokens = 256
 
 // maxLeadOf returns the pool's MergeBound or, when none is set, twice the gap that
 // a single queue would guarantee for these slots.
@@ -93,7 +93,7 @@
 	for _, endpoint := range rules.Endpoints {
 		slots += endpoint.Slots
 	}
-	return 4 * rules.OutputWeight * float64(slots) * typicalAnswerTokens
+	return 4 * rules.OutputWeight * float64(slots) * typicalOutputTokens
 }
 
 // Rules returns the pool's settings in force.
@@ -233,7 +233,7 @@
 }
 
 // Stream charges tokens as they are streamed.
-func (s *Schedule) Stream(t *Ticket, tokens float64) {
+func (s *Schedule) RecordTokens(t *Ticket, tokens float64) {
 	if t.phase == running {
 		s.chargeService(t, tokens*s.rules.OutputWeight)
 	}
@@ -270,7 +270,7 @@
 	}
 	t.tried[endpoint.Name] = true
 	switch outcome := outcome.(type) {
-	case Answered:
+	case Completed:
 		endpoint.recordSuccess()
 		s.retryBudget = min(s.retryBudget+s.rules.RetryBudget, maxRetryBudget)
 	case Failed:
@@ -285,15 +285,15 @@
 
 // settle corrects what was charged to the actual cost.
 func (s *Schedule) settle(t *Ticket, outcome Outcome) {
-	if answered, ok := outcome.(Answered); ok {
+	if completed, ok := outcome.(Completed); ok {
 		q := s.queue(t.Customer)
 		switch {
 		case s.rules.Kind == settings.PlainPool:
 			s.chargeService(t, 1)
-		case answered.UsageKnown:
-			cost := answered.InputTokens*s.rules.InputWeight + answered.OutputTokens*s.rules.OutputWeight
+		case completed.UsageKnown:
+			cost := completed.InputTokens*s.rules.InputWeight + completed.OutputTokens*s.rules.OutputWeight
 			s.chargeService(t, cost-t.served)
-			q.recordOutput(t.Class, answered.OutputTokens)
+			q.recordOutput(t.Class, completed.OutputTokens)
 		}
 	}
 	s.Ledger.Release(t.Customer, t.remainingEstimate)
@@ -310,7 +310,7 @@
 	if t.phase != running || t.started || !t.Streamed || now.Sub(t.sentAt) < strandedDelay {
 		return false
 	}
-	for _, other := range s.inOrder {
+	for _, other := range s.sortedEndpoints {
 		if other == t.Endpoint || t.tried[other.Name] || !other.isAvailable(now) {
 			continue
 		}
--- a/pkg/pool/stranded_test.go
+++ b/pkg/pool/stranded_test.go
@@ -13,12 +13,12 @@
 
 func TestStranded(t *testing.T) {
 	Convey("Given a request that waits in the queue of the only endpoint it could go to", t, func() {
-		rules := settings.DefaultDefaults().Pool
+		rules := settings.BuiltinDefaults().Pool
 		rules.Endpoints = map[string]settings.Endpoint{
 			"slow":  {Address: "slow", Slots: 1},
 			"other": {Address: "other", Slots: 1, Leaving: true},
 		}
-		customers := map[string]settings.Customer{"ward": settings.DefaultDefaults().Customer}
+		customers := map[string]settings.Customer{"ward": settings.BuiltinDefaults().Customer}
 		s := &pool.Schedule{Rand: rand.New(rand.NewPCG(1, 1))}
 		s.Configure(rules, customers)
 		now := time.Unix(0, 0)
--- a/pkg/pool/ticket.go
+++ b/pkg/pool/ticket.go
@@ -58,7 +58,7 @@
 }
 
 // Answered means that the endpoint sent its whole answer.
-type Answered struct {
+type Completed struct {
 	// InputTokens and OutputTokens are the actual cost; 0 for plain services.
 	InputTokens  float64
 	OutputTokens float64
@@ -83,7 +83,7 @@
 // Abandoned means that the caller went away or its deadline passed.
 type Abandoned struct{}
 
-func (Answered) outcome()  {}
+func (Completed) outcome() {}
 func (Failed) outcome()    {}
 func (Declined) outcome()  {}
 func (Moved) outcome()     {}
--- a/pkg/request/state.go
+++ b/pkg/request/state.go
@@ -21,7 +21,7 @@
 	// Sent: the whole request was written.
 	Sent
 	// Answering: the header of a response was read.
-	Answering
+	Responding
 	// Settled: the final response is decided.
 	Settled
 )
@@ -85,7 +85,7 @@
 	if to <= l.state {
 		return &TransitionError{From: l.state, To: to}
 	}
-	if (to == Sent || to == Answering) && l.state < Sending {
+	if (to == Sent || to == Responding) && l.state < Sending {
 		return &TransitionError{From: l.state, To: to}
 	}
 	if to == Sending {
--- a/pkg/router/background.go
+++ b/pkg/router/background.go
@@ -208,10 +208,10 @@
 			report, err := r.fetchReport(address, rules)
 			p.Do(func(s *pool.Schedule, now time.Time) {
 				if err != nil {
-					s.ReportFailed(name, now)
+					s.RecordReportFailure(name, now)
 					return
 				}
-				s.Report(name, report, now)
+				s.ApplyReport(name, report, now)
 			})
 			return nil
 		})
@@ -234,16 +234,16 @@
 		return nil
 	}
 	noop := func() error { return nil }
-	answer, err := r.client(address, rules).Send(call, false, check, noop, noop)
+	response, err := r.client(address, rules).Send(call, false, check, noop, noop)
 	if err != nil {
 		return report, err
 	}
-	defer answer.Close()
-	body, err := answer.ReadAll(r.Box.Limits.HeaderBytes)
+	defer response.Close()
+	body, err := response.ReadAll(r.Box.Limits.HeaderBytes)
 	if err != nil {
 		return report, err
 	}
-	if status := answer.Response.StatusCode(); status != fasthttp.StatusOK {
+	if status := response.Response.StatusCode(); status != fasthttp.StatusOK {
 		return report, trace.BadParameter("status %d", status)
 	}
 	return report, json.Unmarshal(body, &report)
--- a/pkg/router/caller.go
+++ b/pkg/router/caller.go
@@ -158,7 +158,7 @@
 }
 
 // callerGone reports whether the caller's connection is closed.
-func (j *job) callerGone() bool {
+func (j *job) isCallerGone() bool {
 	return !endpoint.IsOpen(j.ctx.Conn())
 }
 
--- a/pkg/router/job.go
+++ b/pkg/router/job.go
@@ -78,7 +78,7 @@
 	if time.Now().After(j.deadline) {
 		return deadlineError{}
 	}
-	if j.callerGone() {
+	if j.isCallerGone() {
 		return callerGoneError{}
 	}
 	return nil
@@ -108,14 +108,14 @@
 // obtainAnswer returns the head of an endpoint's answer for a queued ticket. It
 // tries other endpoints as far as that is safe and within the retry budget. When
 // it returns an answer, the ticket is running.
-func (j *job) obtainAnswer() (*endpoint.CheckedResponse, *request.Refusal) {
+func (j *job) obtainResponse() (*endpoint.CheckedResponse, *request.Refusal) {
 	for {
 		if refusal := j.awaitGrant(); refusal != nil {
 			return nil, refusal
 		}
-		answer, err := j.attempt()
+		response, err := j.attempt()
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 		if refusal := j.handleFailure(err); refusal != nil {
 			return nil, refusal
@@ -194,12 +194,14 @@
 func (e *declinedError) Error() string { return "the endpoint took no new work" }
 
 // mismatchedAnswerError reports an answer that belongs to another request.
-type mismatchedAnswerError struct {
-	answered string
+type mismatchedResponseError struct {
+	requestID string
 }
 
 // Error names the other request.
-func (e *mismatchedAnswerError) Error() string { return "the endpoint answered request " + e.answered }
+func (e *mismatchedResponseError) Error() string {
+	return "the endpoint answered request " + e.requestID
+}
 
 // retryableStatusError reports a status after which another endpoint may succeed.
 type retryableStatusError struct {
@@ -224,30 +226,30 @@
 	client := j.router.client(j.ticket.Endpoint.Address, &j.rules)
 	onSending := func() error { return j.lifecycle.Advance(request.Sending) }
 	onSent := func() error { return j.lifecycle.Advance(request.Sent) }
-	answer, err := client.Send(call, !j.repeatable, j.checkWhileWaiting, onSending, onSent)
+	response, err := client.Send(call, !j.repeatable, j.checkWhileWaiting, onSending, onSent)
 	if err != nil {
 		return nil, err
 	}
-	if err := j.inspect(answer); err != nil {
-		answer.Close()
+	if err := j.inspect(response); err != nil {
+		response.Close()
 		return nil, err
 	}
-	return answer, j.lifecycle.Advance(request.Answering)
+	return response, j.lifecycle.Advance(request.Responding)
 }
 
 // inspect checks the head of an answer.
-func (j *job) inspect(answer *endpoint.CheckedResponse) error {
-	header := &answer.Response.Header
+func (j *job) inspect(response *endpoint.CheckedResponse) error {
+	header := &response.Response.Header
 	echoed := header.Peek(request.IDHeader)
 	if len(echoed) > 0 && string(echoed) != j.id {
-		return &mismatchedAnswerError{answered: string(echoed)}
+		return &mismatchedResponseError{requestID: string(echoed)}
 	}
 	if j.rules.NotRunHeader != "" && len(header.Peek(j.rules.NotRunHeader)) > 0 {
 		leaving := j.rules.LeavingHeader != "" && len(header.Peek(j.rules.LeavingHeader)) > 0
 		return &declinedError{leaving: leaving}
 	}
-	status := answer.Response.StatusCode()
-	if j.repeatable && retryableStatus(status) && j.lifecycle.Attempts() < maxAttempts {
+	status := response.Response.StatusCode()
+	if j.repeatable && isRetryableStatus(status) && j.lifecycle.Attempts() < maxAttempts {
 		return &retryableStatusError{status: status}
 	}
 	return nil
@@ -259,7 +261,7 @@
 // maxGrants bounds the endpoints that one request is granted, reached or not.
 const maxGrants = 8
 
-func retryableStatus(status int) bool {
+func isRetryableStatus(status int) bool {
 	switch status {
 	case fasthttp.StatusBadGateway, fasthttp.StatusServiceUnavailable, fasthttp.StatusGatewayTimeout:
 		return true
--- a/pkg/router/model.go
+++ b/pkg/router/model.go
@@ -51,34 +51,34 @@
 		request.SetBodyRaw(body)
 		return request, nil
 	}
-	return j.answerModel(call)
+	return j.forwardModel(call)
 }
 
 // answerModel relays an engine's answer. Nothing is delivered before its first
 // event, so an answer that breaks off earlier may still be obtained from another
 // engine.
-func (j *job) answerModel(call *endpoint.ModelCall) *request.Refusal {
+func (j *job) forwardModel(call *endpoint.ModelCall) *request.Refusal {
 	if refusal := j.pool.Submit(j.ticket); refusal != nil {
 		return refusal
 	}
 	for {
-		answer, refusal := j.obtainAnswer()
+		response, refusal := j.obtainResponse()
 		if refusal != nil {
 			return refusal
 		}
 		var err error
 		switch {
-		case answer.Response.StatusCode() != fasthttp.StatusOK:
-			return j.relay(answer)
-		case bytes.HasPrefix(answer.Response.Header.ContentType(), eventStreamType):
-			err = j.relayStream(answer, call.WantsUsage)
+		case response.Response.StatusCode() != fasthttp.StatusOK:
+			return j.forward(response)
+		case bytes.HasPrefix(response.Response.Header.ContentType(), eventStreamType):
+			err = j.forwardStream(response, call.WantsUsage)
 		default:
-			err = j.relayWhole(answer)
+			err = j.forwardBuffered(response)
 		}
 		if err == nil {
 			return nil
 		}
-		answer.Close()
+		response.Close()
 		if refusal := j.handleFailure(err); refusal != nil {
 			return refusal
 		}
@@ -86,43 +86,43 @@
 }
 
 // relayWhole relays an answer that is not streamed.
-func (j *job) relayWhole(answer *endpoint.CheckedResponse) error {
-	body, err := answer.ReadAll(j.router.Box.Limits.AnswerBytes)
+func (j *job) forwardBuffered(response *endpoint.CheckedResponse) error {
+	body, err := response.ReadAll(j.router.Box.Limits.AnswerBytes)
 	if err != nil {
 		return err
 	}
-	answer.Close()
+	response.Close()
 	usage, known := endpoint.ParseUsage(body)
 	j.pool.Begin(j.ticket)
-	j.finish(pool.Answered{
+	j.finish(pool.Completed{
 		InputTokens:  float64(usage.PromptTokens),
 		OutputTokens: float64(usage.CompletionTokens),
 		UsageKnown:   known,
 	})
 	j.recordLatency(&j.router.Metrics.FirstToken)
-	j.copyHeader(answer)
+	j.copyHeader(response)
 	j.ctx.Response.SetBody(body)
 	return nil
 }
 
 // relayStream passes the stream to the server, which reads it event by event.
-func (j *job) relayStream(answer *endpoint.CheckedResponse, keepUsage bool) error {
-	events := &endpoint.EventStream{Source: answer, KeepUsage: keepUsage}
-	events.Count = func(tokens int) { j.pool.Stream(j.ticket, float64(tokens)) }
+func (j *job) forwardStream(response *endpoint.CheckedResponse, keepUsage bool) error {
+	events := &endpoint.EventStream{Source: response, KeepUsage: keepUsage}
+	events.Count = func(tokens int) { j.pool.RecordTokens(j.ticket, float64(tokens)) }
 	if err := events.Prime(); err != nil {
 		return err
 	}
 	j.pool.Begin(j.ticket)
 	j.recordLatency(&j.router.Metrics.FirstToken)
-	j.copyHeader(answer)
+	j.copyHeader(response)
 	j.streaming = true
 	j.ctx.Response.ImmediateHeaderFlush = true
-	j.ctx.Response.SetBodyStream(&eventBody{body: body{job: j, answer: answer}, events: events}, -1)
+	j.ctx.Response.SetBodyStream(&eventBody{forwardedBody: forwardedBody{job: j, response: response}, events: events}, -1)
 	return nil
 }
 
 // finish records that the request was answered.
-func (j *job) finish(outcome pool.Answered) {
+func (j *job) finish(outcome pool.Completed) {
 	j.pool.Finish(j.ticket, outcome)
 	// The transition from answering to settled never fails.
 	_ = j.lifecycle.Advance(request.Settled)
@@ -132,35 +132,35 @@
 
 // body is an answer that is being relayed to the caller. Closing it records the
 // outcome of the request.
-type body struct {
-	job    *job
-	answer *endpoint.CheckedResponse
+type forwardedBody struct {
+	job      *job
+	response *endpoint.CheckedResponse
 	// complete is set once the end of the answer was relayed.
 	complete bool
 	closed   bool
 }
 
 // extendWriteDeadline gives a slow caller the write timeout for the next piece.
-func (b *body) extendWriteDeadline() error {
+func (b *forwardedBody) extendWriteDeadline() error {
 	timeout := b.job.router.Box.Limits.WriteTimeout.Duration
 	return b.job.ctx.Conn().SetWriteDeadline(time.Now().Add(timeout))
 }
 
 // close ends the exchange with the endpoint, whether the answer is complete or cut.
-func (b *body) close(outcome pool.Answered) error {
+func (b *forwardedBody) close(outcome pool.Completed) error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
 	j := b.job
 	defer j.router.inFlight.Add(-1)
-	err := b.answer.Close()
+	err := b.response.Close()
 	if b.complete {
 		j.finish(outcome)
 		return err
 	}
 	j.router.Metrics.Cut.Add(j.poolName, 1)
-	if j.callerGone() {
+	if j.isCallerGone() {
 		j.pool.Finish(j.ticket, pool.Abandoned{})
 		return err
 	}
@@ -170,7 +170,7 @@
 
 // eventBody is an engine's event stream that is being relayed to the caller.
 type eventBody struct {
-	body
+	forwardedBody
 	events *endpoint.EventStream
 }
 
@@ -187,7 +187,7 @@
 
 // Close records the outcome of the request, with its actual cost.
 func (b *eventBody) Close() error {
-	return b.close(pool.Answered{
+	return b.close(pool.Completed{
 		InputTokens:  float64(b.events.Usage.PromptTokens),
 		OutputTokens: float64(b.events.Usage.CompletionTokens),
 		UsageKnown:   b.events.UsageKnown,
--- a/pkg/router/plain.go
+++ b/pkg/router/plain.go
@@ -40,48 +40,48 @@
 	}
 	key := string(j.ctx.Request.Header.Peek(j.rules.KeyHeader))
 	if j.repeatable || key == "" {
-		return j.answerPlain()
+		return j.forwardPlain()
 	}
-	return j.answerClaimed(key)
+	return j.serveClaimed(key)
 }
 
 // answerPlain relays a plain service's answer as it arrives.
-func (j *job) answerPlain() *request.Refusal {
+func (j *job) forwardPlain() *request.Refusal {
 	if refusal := j.pool.Submit(j.ticket); refusal != nil {
 		return refusal
 	}
-	answer, refusal := j.obtainAnswer()
+	response, refusal := j.obtainResponse()
 	if refusal != nil {
 		return refusal
 	}
-	return j.relay(answer)
+	return j.forward(response)
 }
 
 // relay passes an answer to the server, which reads it piece by piece.
-func (j *job) relay(answer *endpoint.CheckedResponse) *request.Refusal {
+func (j *job) forward(response *endpoint.CheckedResponse) *request.Refusal {
 	j.pool.Begin(j.ticket)
-	j.copyHeader(answer)
-	if answer.IsEmpty() {
+	j.copyHeader(response)
+	if response.IsEmpty() {
 		j.ctx.Response.SkipBody = j.ctx.IsHead()
-		answer.Close()
-		j.finish(pool.Answered{})
+		response.Close()
+		j.finish(pool.Completed{})
 		return nil
 	}
 	j.streaming = true
-	stream := &plainBody{body{job: j, answer: answer}}
-	j.ctx.Response.SetBodyStream(stream, answer.Length())
+	stream := &plainBody{forwardedBody{job: j, response: response}}
+	j.ctx.Response.SetBodyStream(stream, response.Length())
 	return nil
 }
 
 // plainBody is a plain service's answer that is being relayed to the caller.
 type plainBody struct {
-	body
+	forwardedBody
 }
 
 // Read returns the next piece. After an error other than io.EOF the server closes
 // the connection without a clean end, so that the caller can detect the cut.
 func (b *plainBody) Read(p []byte) (n int, err error) {
-	n, err = b.answer.Read(p)
+	n, err = b.response.Read(p)
 	b.complete = isEOF(err)
 	if err != nil {
 		return n, err
@@ -91,7 +91,7 @@
 
 // Close records the outcome of the request.
 func (b *plainBody) Close() error {
-	return b.close(pool.Answered{})
+	return b.close(pool.Completed{})
 }
 
 func isEOF(err error) bool {
@@ -100,7 +100,7 @@
 
 // answerClaimed serves a call that must run at most once and carries an idempotency
 // key. The key is claimed before the first byte is sent, and the outcome is stored.
-func (j *job) answerClaimed(key string) *request.Refusal {
+func (j *job) serveClaimed(key string) *request.Refusal {
 	ctx, cancel := context.WithDeadline(context.Background(), j.deadline)
 	defer cancel()
 	claimKey := claim.Key{Customer: j.customer, Pool: j.poolName, Value: key}
@@ -119,7 +119,7 @@
 		_ = j.lifecycle.Advance(request.Claimed)
 		return j.sendClaimed(result.Claim)
 	case claim.Stored:
-		j.answerStored(result.Outcome)
+		j.respondStored(result.Outcome)
 		return nil
 	case claim.Reused:
 		return &request.Refusal{
@@ -150,9 +150,9 @@
 // sendClaimed makes the one call that a claim allows.
 func (j *job) sendClaimed(held *claim.Claim) *request.Refusal {
 	refusal := j.pool.Submit(j.ticket)
-	var answer *endpoint.CheckedResponse
+	var response *endpoint.CheckedResponse
 	if refusal == nil {
-		answer, refusal = j.obtainAnswer()
+		response, refusal = j.obtainResponse()
 	}
 	if refusal != nil {
 		if j.lifecycle.RunStatus() == request.NotRun {
@@ -160,8 +160,8 @@
 		}
 		return refusal
 	}
-	defer answer.Close()
-	content, err := answer.ReadAll(j.router.Box.Limits.AnswerBytes)
+	defer response.Close()
+	content, err := response.ReadAll(j.router.Box.Limits.AnswerBytes)
 	if err != nil {
 		j.pool.Finish(j.ticket, pool.Failed{})
 		return &request.Refusal{
@@ -170,13 +170,13 @@
 			Run:     j.lifecycle.RunStatus(),
 		}
 	}
-	j.finish(pool.Answered{})
+	j.finish(pool.Completed{})
 	j.router.claims.Settle(held, claim.Outcome{
-		Status:      answer.Response.StatusCode(),
-		ContentType: string(answer.Response.Header.ContentType()),
+		Status:      response.Response.StatusCode(),
+		ContentType: string(response.Response.Header.ContentType()),
 		Body:        content,
 	})
-	j.copyHeader(answer)
+	j.copyHeader(response)
 	j.ctx.Response.SetBody(content)
 	return nil
 }
@@ -184,7 +184,7 @@
 // ReplayedHeader marks an answer that was stored when the call ran.
 const ReplayedHeader = "Quaylead-Replayed"
 
-func (j *job) answerStored(outcome claim.Outcome) {
+func (j *job) respondStored(outcome claim.Outcome) {
 	response := &j.ctx.Response
 	response.SetStatusCode(outcome.Status)
 	response.Header.SetContentType(outcome.ContentType)
@@ -215,20 +215,20 @@
 }
 
 // copyHeader starts the caller's answer with the endpoint's status and headers.
-func (j *job) copyHeader(answer *endpoint.CheckedResponse) {
-	response := &j.ctx.Response
-	closing := response.ConnectionClose()
-	answer.Response.Header.CopyTo(&response.Header)
+func (j *job) copyHeader(response *endpoint.CheckedResponse) {
+	callerResponse := &j.ctx.Response
+	closing := callerResponse.ConnectionClose()
+	response.Response.Header.CopyTo(&callerResponse.Header)
 	for _, name := range hopByHopHeaders {
-		response.Header.Del(name)
+		callerResponse.Header.Del(name)
 	}
-	response.Header.Del(fasthttp.HeaderContentLength)
-	response.Header.ResetConnectionClose()
+	callerResponse.Header.Del(fasthttp.HeaderContentLength)
+	callerResponse.Header.ResetConnectionClose()
 	if closing {
-		response.SetConnectionClose()
+		callerResponse.SetConnectionClose()
 	}
-	response.Header.Set(request.RunHeader, string(request.DidRun))
-	response.Header.Set(request.IDHeader, j.id)
+	callerResponse.Header.Set(request.RunHeader, string(request.DidRun))
+	callerResponse.Header.Set(request.IDHeader, j.id)
 }
 
 // hopByHopHeaders apply to one connection and are not forwarded.
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -62,7 +62,7 @@
 	box.Limits.DrainWait = settings.Duration{}
 	box.Limits.ReadTimeout = settings.Duration{Duration: 2 * time.Second}
 	box.Log.Level = "error"
-	defaults := settings.DefaultDefaults()
+	defaults := settings.BuiltinDefaults()
 	customer := defaults.Customer
 	sum := sha256.Sum256([]byte(testKey))
 	customer.KeyHashes = []string{hex.EncodeToString(sum[:])}
@@ -169,13 +169,13 @@
 		}
 		call.Header.Set("Authorization", "Bearer "+testKey)
 		call.Header.Set("X-Request-Id", "mine")
-		answer, err := client.Do(call)
+		response, err := client.Do(call)
 		if err != nil {
 			return 0, "", err
 		}
-		defer answer.Body.Close()
-		_, err = io.ReadAll(answer.Body)
-		return answer.StatusCode, answer.Header.Get("Quaylead-Run"), err
+		defer response.Body.Close()
+		_, err = io.ReadAll(response.Body)
+		return response.StatusCode, response.Header.Get("Quaylead-Run"), err
 	}
 	Convey("An answer to another request is refused as unknown", t, func() {
 		handler := func(ctx *fasthttp.RequestCtx) { ctx.Response.Header.Set("X-Request-Id", "other") }
@@ -221,14 +221,14 @@
 	direct := serveEndpoint(b, group, handler)
 	withRouter(b, handler, func(routed string) {
 		call := func(address string) time.Duration {
-			request, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+			request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			defer fasthttp.ReleaseRequest(request)
-			defer fasthttp.ReleaseResponse(answer)
+			defer fasthttp.ReleaseResponse(response)
 			request.SetRequestURI("http://" + address + "/a")
 			request.Header.Set("Authorization", "Bearer "+testKey)
 			began := time.Now()
-			if err := fasthttp.Do(request, answer); err != nil || answer.StatusCode() != fasthttp.StatusOK {
-				b.Fatal(err, answer.StatusCode())
+			if err := fasthttp.Do(request, response); err != nil || response.StatusCode() != fasthttp.StatusOK {
+				b.Fatal(err, response.StatusCode())
 			}
 			return time.Since(began)
 		}
@@ -258,11 +258,11 @@
 	withRouter(b, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("fine") }, func(routed string) {
 		b.SetParallelism(8)
 		b.RunParallel(func(pb *testing.PB) {
-			request, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+			request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			request.SetRequestURI("http://" + routed + "/a")
 			request.Header.Set("Authorization", "Bearer "+testKey)
 			for pb.Next() {
-				if err := fasthttp.Do(request, answer); err != nil {
+				if err := fasthttp.Do(request, response); err != nil {
 					b.Error(err)
 					return
 				}
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -20,7 +20,7 @@
 	c.problems = append(c.problems, &Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) address(path, value string, optional bool) {
+func (c *checker) requireAddress(path, value string, optional bool) {
 	if value == "" && optional {
 		return
 	}
@@ -28,11 +28,11 @@
 	c.require(err == nil, path, "%q is no IP address with a port, such as 127.0.0.1:8080", value)
 }
 
-func (c *checker) atLeast(path string, value, minimum int) {
+func (c *checker) requireAtLeast(path string, value, minimum int) {
 	c.require(value >= minimum, path, "is %d, must be at least %d", value, minimum)
 }
 
-func (c *checker) positive(path string, value Duration) {
+func (c *checker) requirePositive(path string, value Duration) {
 	c.require(value.Duration > 0, path, "must be a duration above 0")
 }
 
@@ -40,22 +40,22 @@
 	c := &checker{}
 	c.require(box.Name != "", "Name", "must be given: the box's own name")
 	c.require(box.Zone != "", "Zone", "must be given: the box's availability zone")
-	c.address("CallerAddress", box.CallerAddress, false)
-	c.address("OperatorAddress", box.OperatorAddress, false)
-	c.address("PeerAddress", box.PeerAddress, false)
+	c.requireAddress("CallerAddress", box.CallerAddress, false)
+	c.requireAddress("OperatorAddress", box.OperatorAddress, false)
+	c.requireAddress("PeerAddress", box.PeerAddress, false)
 	for _, name := range sortedKeys(box.Peers) {
-		c.address("Peers."+name+".Address", box.Peers[name].Address, false)
+		c.requireAddress("Peers."+name+".Address", box.Peers[name].Address, false)
 	}
-	c.address("Platform.Address", box.Platform.Address, true)
-	c.positive("Platform.Timeout", box.Platform.Timeout)
-	c.positive("Platform.HeadInterval", box.Platform.HeadInterval)
-	c.positive("Platform.BoxListInterval", box.Platform.BoxListInterval)
+	c.requireAddress("Platform.Address", box.Platform.Address, true)
+	c.requirePositive("Platform.Timeout", box.Platform.Timeout)
+	c.requirePositive("Platform.HeadInterval", box.Platform.HeadInterval)
+	c.requirePositive("Platform.BoxListInterval", box.Platform.BoxListInterval)
 	checkTLS(c, &box.TLS)
 	levels := map[string]bool{"debug": true, "info": true, "warn": true, "error": true}
 	c.require(levels[box.Log.Level], "Log.Level", "%q is none of debug, info, warn, error", box.Log.Level)
 	checkLimits(c, &box.Limits)
-	c.positive("Exchange.Interval", box.Exchange.Interval)
-	c.positive("Exchange.DialTimeout", box.Exchange.DialTimeout)
+	c.requirePositive("Exchange.Interval", box.Exchange.Interval)
+	c.requirePositive("Exchange.DialTimeout", box.Exchange.DialTimeout)
 	c.require(box.Exchange.Heartbeat.Duration >= box.Exchange.Interval.Duration,
 		"Exchange.Heartbeat", "must be at least Exchange.Interval")
 	c.require(box.Exchange.Lapse.Duration > box.Exchange.Heartbeat.Duration,
@@ -77,23 +77,23 @@
 }
 
 func checkLimits(c *checker, limits *Limits) {
-	c.atLeast("Limits.HeaderBytes", limits.HeaderBytes, 1024)
-	c.atLeast("Limits.BodyBytes", limits.BodyBytes, 1024)
-	c.atLeast("Limits.AnswerBytes", limits.AnswerBytes, 1024)
-	c.atLeast("Limits.Connections", limits.Connections, 1)
-	c.atLeast("Limits.ConnectionsPerIP", limits.ConnectionsPerIP, 0)
-	c.positive("Limits.ReadTimeout", limits.ReadTimeout)
-	c.positive("Limits.WriteTimeout", limits.WriteTimeout)
-	c.positive("Limits.IdleTimeout", limits.IdleTimeout)
-	c.positive("Limits.RequestTimeout", limits.RequestTimeout)
-	c.positive("Limits.DrainTimeout", limits.DrainTimeout)
+	c.requireAtLeast("Limits.HeaderBytes", limits.HeaderBytes, 1024)
+	c.requireAtLeast("Limits.BodyBytes", limits.BodyBytes, 1024)
+	c.requireAtLeast("Limits.AnswerBytes", limits.AnswerBytes, 1024)
+	c.requireAtLeast("Limits.Connections", limits.Connections, 1)
+	c.requireAtLeast("Limits.ConnectionsPerIP", limits.ConnectionsPerIP, 0)
+	c.requirePositive("Limits.ReadTimeout", limits.ReadTimeout)
+	c.requirePositive("Limits.WriteTimeout", limits.WriteTimeout)
+	c.requirePositive("Limits.IdleTimeout", limits.IdleTimeout)
+	c.requirePositive("Limits.RequestTimeout", limits.RequestTimeout)
+	c.requirePositive("Limits.DrainTimeout", limits.DrainTimeout)
 }
 
 func checkFleet(fleet *Fleet) []*Problem {
 	c := &checker{}
 	for _, name := range sortedKeys(fleet.Classes) {
 		class := fleet.Classes[name]
-		c.atLeast("Classes."+name+".MaxOutputTokens", class.MaxOutputTokens, 0)
+		c.requireAtLeast("Classes."+name+".MaxOutputTokens", class.MaxOutputTokens, 0)
 	}
 	checkCustomers(c, fleet)
 	checkPools(c, fleet)
@@ -106,7 +106,7 @@
 		customer := fleet.Customers[name]
 		path := "Customers." + name
 		c.require(customer.Share > 0, path+".Share", "is %v, must be above 0", customer.Share)
-		c.atLeast(path+".QueueLength", customer.QueueLength, 1)
+		c.requireAtLeast(path+".QueueLength", customer.QueueLength, 1)
 		c.require(customer.Unsettled > 0, path+".Unsettled", "is %v, must be above 0", customer.Unsettled)
 		for _, hash := range customer.KeyHashes {
 			raw, err := hex.DecodeString(hash)
@@ -137,8 +137,8 @@
 		for _, endpointName := range sortedKeys(pool.Endpoints) {
 			endpoint := pool.Endpoints[endpointName]
 			endpointPath := path + ".Endpoints." + endpointName
-			c.address(endpointPath+".Address", endpoint.Address, false)
-			c.atLeast(endpointPath+".Slots", endpoint.Slots, 1)
+			c.requireAddress(endpointPath+".Address", endpoint.Address, false)
+			c.requireAtLeast(endpointPath+".Slots", endpoint.Slots, 1)
 			c.require(endpoint.Slots > pool.QuickSlots, endpointPath+".Slots",
 				"is %d, must be above the pool's QuickSlots (%d)", endpoint.Slots, pool.QuickSlots)
 		}
@@ -161,15 +161,15 @@
 	c.require(pool.InputWeight >= 0, path+".InputWeight", "must not be negative")
 	c.require(pool.OutputWeight > 0, path+".OutputWeight", "must be above 0")
 	c.require(pool.MergeBound >= 0, path+".MergeBound", "must not be negative")
-	c.atLeast(path+".Slack", pool.Slack, 1)
-	c.atLeast(path+".QuickSlots", pool.QuickSlots, 0)
-	c.atLeast(path+".EjectAfter", pool.EjectAfter, 1)
+	c.requireAtLeast(path+".Slack", pool.Slack, 1)
+	c.requireAtLeast(path+".QuickSlots", pool.QuickSlots, 0)
+	c.requireAtLeast(path+".EjectAfter", pool.EjectAfter, 1)
 	c.require(pool.RetryBudget >= 0 && pool.RetryBudget <= 1, path+".RetryBudget", "must lie between 0 and 1")
-	c.positive(path+".ReportInterval", pool.ReportInterval)
-	c.positive(path+".ConnectTimeout", pool.ConnectTimeout)
-	c.positive(path+".StallTimeout", pool.StallTimeout)
-	c.positive(path+".EjectFor", pool.EjectFor)
-	c.positive(path+".OutcomeRetention", pool.OutcomeRetention)
+	c.requirePositive(path+".ReportInterval", pool.ReportInterval)
+	c.requirePositive(path+".ConnectTimeout", pool.ConnectTimeout)
+	c.requirePositive(path+".StallTimeout", pool.StallTimeout)
+	c.requirePositive(path+".EjectFor", pool.EjectFor)
+	c.requirePositive(path+".OutcomeRetention", pool.OutcomeRetention)
 	for _, rule := range pool.NotRepeatable {
 		_, prefix, found := strings.Cut(rule, " ")
 		c.require(found && strings.HasPrefix(prefix, "/"), path+".NotRepeatable",
--- a/pkg/settings/fleet.go
+++ b/pkg/settings/fleet.go
@@ -161,7 +161,7 @@
 }
 
 // DefaultDefaults returns the defaults that apply where no branch sets others.
-func DefaultDefaults() Defaults {
+func BuiltinDefaults() Defaults {
 	return Defaults{
 		Customer: Customer{
 			Share:       1,
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -59,7 +59,7 @@
 func LoadFleet(path string) (fleet *Fleet, err error) {
 	defer func() { err = trace.Wrap(err, "loading settings tree") }()
 	reader := treeReader{result: table{}}
-	defaults, err := toTable(DefaultDefaults())
+	defaults, err := toTable(BuiltinDefaults())
 	if err != nil {
 		return nil, err
 	}
