--- a/pkg/dispatch/backlog_limiter.go
+++ b/pkg/dispatch/backlog_limiter.go
@@ -69,10 +69,10 @@
 	if backlog == nil {
 		return Admitted
 	}
-	switch over := now.Before(backlog.overShareUntil); {
-	case over && backlog.waiting >= MaxWaitingOverShare:
+	switch isOver := now.Before(backlog.overShareUntil); {
+	case isOver && backlog.waiting >= MaxWaitingOverShare:
 		return RefusedOverShare
-	case busy && over && backlog.waiting >= maxWaitingBusy:
+	case busy && isOver && backlog.waiting >= maxWaitingBusy:
 		return RefusedOverShare
 	case busy && backlog.waiting >= maxWaitingBusy:
 		return RefusedBusy
@@ -82,10 +82,10 @@
 
 // Leave records that a request no longer waits, and whether its customer was found to be over
 // its share.
-func (l *BacklogLimiter) Leave(customer string, over bool, now time.Time) {
+func (l *BacklogLimiter) Leave(customer string, isOver bool, now time.Time) {
 	backlog := l.customers[customer]
 	backlog.waiting--
-	if over {
+	if isOver {
 		backlog.overShareUntil = now.Add(overShareTTL)
 	}
 }
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		for n := range 4 {
-			p.book(newRequest(fmt.Sprint("fill", i, n), "other", now, Part{ID: uint64(10000 + i*4 + n), Tokens: 20000}), e, now)
+			p.addGrant(newRequest(fmt.Sprint("fill", i, n), "other", now, Part{ID: uint64(10000 + i*4 + n), Tokens: 20000}), e, now)
 		}
 	}
 	for i := range 400 {
--- a/pkg/dispatch/cache.go
+++ b/pkg/dispatch/cache.go
@@ -53,7 +53,7 @@
 
 // AddCachedParts adds another router's estimate of an engine's prefix cache.
 func (p *Pool) AddCachedParts(cached CachedParts, now time.Time) {
-	e := p.engineAtStart(cached.Endpoint, cached.Born, now)
+	e := p.engineOfInstance(cached.Endpoint, cached.Born, now)
 	if e == nil {
 		return
 	}
@@ -66,7 +66,7 @@
 // ApplyCacheReport replaces assumed cache contents of an engine by those that the engine itself
 // reported.
 func (p *Pool) ApplyCacheReport(report CachedParts, now time.Time) {
-	e := p.engineAtStart(report.Endpoint, report.Born, now)
+	e := p.engineOfInstance(report.Endpoint, report.Born, now)
 	if e == nil {
 		return
 	}
--- a/pkg/dispatch/deadly_test.go
+++ b/pkg/dispatch/crash_test.go
@@ -20,7 +20,7 @@
 
 // deadlySimulation is a pool in which certain requests end their engine some time after they
 // began, with all requests that run there. The engine restarts under another ID.
-type deadlySimulation struct {
+type crashSimulation struct {
 	*simulation
 	// ledgers are those of the boxes, which run a router each; a box sees its own requests only.
 	ledgers []*quarantine.Ledger
@@ -32,8 +32,8 @@
 	// dead are the failed boxes.
 	dead map[int]bool
 	// running are the requests at each engine, in order of their grants.
-	running map[string][]*deadlyRequest
-	waiting map[string]*deadlyRequest
+	running map[string][]*crashRequest
+	waiting map[string]*crashRequest
 	// down are the engines that ended and are still listed; starts counts restarts.
 	down   map[string]bool
 	starts int
@@ -46,11 +46,11 @@
 }
 
 // deadlyRequest is a request and the box that received it.
-type deadlyRequest struct {
+type crashRequest struct {
 	*Request
 	box int
 	// kills makes the request end its engine.
-	kills bool
+	crashesEngine bool
 	// repeats is how often it may still be repeated after a break.
 	repeats int
 	ended   bool
@@ -63,15 +63,15 @@
 	restartDelay = 3 * time.Second
 )
 
-func newDeadlySimulation(engines, boxes int, seed uint64) *deadlySimulation {
-	s := &deadlySimulation{
+func newCrashSimulation(engines, boxes int, seed uint64) *crashSimulation {
+	s := &crashSimulation{
 		simulation: newSimulation(engines, 0, 45000),
 		shared:     true,
 		bounded:    true,
 		dead:       map[int]bool{},
 		down:       map[string]bool{},
-		running:    map[string][]*deadlyRequest{},
-		waiting:    map[string]*deadlyRequest{},
+		running:    map[string][]*crashRequest{},
+		waiting:    map[string]*crashRequest{},
 		ends:       map[quarantine.Fingerprint]int{},
 		sends:      map[quarantine.Fingerprint]int{},
 	}
@@ -89,12 +89,12 @@
 
 // sendInnocents sends innocent requests at a rate per second, a fraction of them repeatable, and
 // returns their number.
-func (s *deadlySimulation) sendInnocents(perSecond float64, length time.Duration, repeatable float64) (number int) {
+func (s *crashSimulation) sendInnocents(perSecond float64, length time.Duration, repeatable float64) (number int) {
 	from := &source{customer: "others", route: "chat", perSecond: perSecond, latencyTarget: 600 * time.Millisecond, shared: 350, own: 1110, sharedParts: 160, output: 170}
 	end := s.now.Add(length)
 	for at := s.next(s.now, from); at.Before(end); at = s.next(at, from) {
 		number++
-		req := &deadlyRequest{Request: s.newRequest(from, number, at), box: s.rand.IntN(len(s.ledgers))}
+		req := &crashRequest{Request: s.newRequest(from, number, at), box: s.rand.IntN(len(s.ledgers))}
 		req.Fingerprint = fingerprintOf("others", req.ID)
 		if s.rand.Float64() < repeatable {
 			req.repeats = 3
@@ -108,22 +108,22 @@
 }
 
 // sendDeadly sends one deadly request repeatedly at the given times, to any box.
-func (s *deadlySimulation) sendDeadly(body string, times ...time.Duration) {
+func (s *crashSimulation) sendCrashing(body string, times ...time.Duration) {
 	from := &source{customer: "one", route: "chat", latencyTarget: 600 * time.Millisecond, shared: 350, own: 900, sharedParts: 3, output: 50}
 	for i, after := range times {
-		req := &deadlyRequest{Request: s.newRequest(from, 0, s.now.Add(after)), kills: true, box: s.rand.IntN(len(s.ledgers))}
+		req := &crashRequest{Request: s.newRequest(from, 0, s.now.Add(after)), crashesEngine: true, box: s.rand.IntN(len(s.ledgers))}
 		req.ID = fmt.Sprintf("%s-%d", body, i)
 		req.Fingerprint = fingerprintOf("one", body)
 		s.at(req.Arrived, func() { s.receive(req) })
 	}
 }
 
-func (s *deadlySimulation) receive(req *deadlyRequest) {
+func (s *crashSimulation) receive(req *crashRequest) {
 	for s.dead[req.box] {
 		req.box = s.rand.IntN(len(s.ledgers))
 	}
-	if s.ledgers[req.box].Check(req.Fingerprint, s.now).Quarantined() {
-		if !req.kills {
+	if s.ledgers[req.box].Check(req.Fingerprint, s.now).IsQuarantined() {
+		if !req.crashesEngine {
 			s.refusedInnocent++
 		}
 		return
@@ -138,7 +138,7 @@
 	s.pool.Submit(req.Request, s.now)
 }
 
-func (s *deadlySimulation) decide() {
+func (s *crashSimulation) decide() {
 	for _, d := range s.pool.Decide(s.now) {
 		switch d := d.(type) {
 		case Grant:
@@ -151,12 +151,12 @@
 	}
 }
 
-func (s *deadlySimulation) run(req *deadlyRequest, g Grant) {
+func (s *crashSimulation) run(req *crashRequest, g Grant) {
 	if s.down[g.Endpoint] {
 		s.pool.End(req.ID, Unreachable{}, s.now)
 		return
 	}
-	if req.kills {
+	if req.crashesEngine {
 		s.sends[req.Fingerprint]++
 	}
 	s.running[g.Endpoint] = append(s.running[g.Endpoint], req)
@@ -169,45 +169,45 @@
 			return
 		}
 		s.pool.Begin(req.ID, s.now)
-		if req.kills {
+		if req.crashesEngine {
 			s.at(s.now.Add(crashDelay), func() { s.crash(g.Endpoint, req) })
 		}
 	})
-	if req.kills {
+	if req.crashesEngine {
 		return
 	}
 	s.at(begins.Add(time.Duration(req.ExpectedOutput())*s.tokenInterval), func() {
 		if req.ended {
 			return
 		}
-		s.running[g.Endpoint] = slices.DeleteFunc(s.running[g.Endpoint], func(other *deadlyRequest) bool { return other == req })
+		s.running[g.Endpoint] = slices.DeleteFunc(s.running[g.Endpoint], func(other *crashRequest) bool { return other == req })
 		s.pool.End(req.ID, Done{}, s.now)
 		s.clearSuspicion(req)
 	})
 }
 
 // clearSuspicion records at the boxes that a request ended well.
-func (s *deadlySimulation) clearSuspicion(req *deadlyRequest) {
+func (s *crashSimulation) clearSuspicion(req *crashRequest) {
 	s.ledgers[req.box].Clear(req.Fingerprint, "llm", s.now)
 	s.exchangeEnds()
 }
 
 // crash ends an engine because of a request, unless the request already ended with another one.
-func (s *deadlySimulation) crash(engine string, by *deadlyRequest) {
+func (s *crashSimulation) crash(engine string, by *crashRequest) {
 	if by.ended {
 		return
 	}
 	s.ends[by.Fingerprint]++
-	life := quarantine.InstanceOf("llm", engine, 0)
+	instance := quarantine.InstanceOf("llm", engine, 0)
 	s.down[engine] = true
 	broken := s.running[engine]
 	delete(s.running, engine)
 	for _, req := range broken {
 		req.ended = true
-		if !req.kills {
+		if !req.crashesEngine {
 			s.lost++
 		}
-		end := s.ledgers[req.box].RecordEnd(req.Fingerprint, life, s.now)
+		end := s.ledgers[req.box].RecordEnd(req.Fingerprint, instance, s.now)
 		s.pool.End(req.ID, Ended{End: end}, s.now)
 		s.retry(req)
 	}
@@ -218,18 +218,18 @@
 }
 
 // retry repeats an innocent request that broke, if it may be repeated.
-func (s *deadlySimulation) retry(req *deadlyRequest) {
+func (s *crashSimulation) retry(req *crashRequest) {
 	if req.repeats == 0 {
 		return
 	}
 	again := *req.Request
 	again.ID, again.Arrived = req.ID+"r", s.now.Add(5*time.Millisecond)
-	next := &deadlyRequest{Request: &again, box: req.box, repeats: req.repeats - 1}
+	next := &crashRequest{Request: &again, box: req.box, repeats: req.repeats - 1}
 	s.at(again.Arrived, func() { s.receive(next) })
 }
 
 // replace restarts an engine under another ID.
-func (s *deadlySimulation) replace(engine, back string) {
+func (s *crashSimulation) replace(engine, back string) {
 	endpoints := s.pool.Endpoints()
 	for i := range endpoints {
 		if endpoints[i].ID == engine {
@@ -240,7 +240,7 @@
 }
 
 // exchangeEnds shares the recorded ends among the live boxes, if they do so.
-func (s *deadlySimulation) exchangeEnds() {
+func (s *crashSimulation) exchangeEnds() {
 	if !s.shared {
 		return
 	}
@@ -248,7 +248,7 @@
 		if s.dead[from] {
 			continue
 		}
-		ends, _ := l.Since(0, "", s.now)
+		ends, _ := l.EndsSince(0, "", s.now)
 		for to, other := range s.ledgers {
 			if to != from && !s.dead[to] {
 				other.Merge(ends, "", s.now)
@@ -259,7 +259,7 @@
 
 // failBoxes kills the dispatching box and some others. The first box left takes over; it
 // receives what runs, and what each router saw where boxes do not share it.
-func (s *deadlySimulation) failBoxes(count int) {
+func (s *crashSimulation) failBoxes(count int) {
 	for box := range s.ledgers {
 		if !s.dead[box] && count > 0 && len(s.dead) < len(s.ledgers)-1 {
 			s.dead[box] = true
@@ -276,7 +276,7 @@
 	s.pool.SetEndpoints(before.Endpoints(), s.now)
 	for box, l := range s.ledgers {
 		if !s.dead[box] {
-			ends, _ := l.Since(0, "", s.now)
+			ends, _ := l.EndsSince(0, "", s.now)
 			s.pool.Ledger.Merge(ends, "", s.now)
 		}
 	}
@@ -290,7 +290,7 @@
 	}
 }
 
-func (s *deadlySimulation) maxEnds() (most int) {
+func (s *crashSimulation) maxEnds() (most int) {
 	for _, count := range s.ends {
 		most = max(most, count)
 	}
@@ -314,12 +314,12 @@
 func TestMostEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
-		s := newDeadlySimulation(engines, rapid.IntRange(2, 8).Draw(t, "boxes"), rapid.Uint64().Draw(t, "seed"))
+		s := newCrashSimulation(engines, rapid.IntRange(2, 8).Draw(t, "boxes"), rapid.Uint64().Draw(t, "seed"))
 		length := 20 * time.Second
 		s.sendInnocents(float64(engines)*rapid.Float64Range(0.2, 8).Draw(t, "load"), length, 0.3)
 		for i := range rapid.IntRange(1, 3).Draw(t, "deadly") {
 			gap := time.Duration(rapid.IntRange(1, 3000).Draw(t, "gap")) * time.Millisecond
-			s.sendDeadly(fmt.Sprint("body", i), times(s.rand, 25, gap)...)
+			s.sendCrashing(fmt.Sprint("body", i), times(s.rand, 25, gap)...)
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "losses") {
 			count := rapid.IntRange(1, 3).Draw(t, "lost")
@@ -342,21 +342,21 @@
 }
 
 // deadlyOutcome sums up random fleets.
-type deadlyOutcome struct {
+type crashOutcome struct {
 	requests, ends, most, lost, refused, innocents int
 }
 
 // playDeadly runs a fleet drawn from a seed: repeats arrive separately or together, and boxes
 // fail twice, the dispatching box among them.
-func playDeadly(protection protection, seed uint64, out *deadlyOutcome) {
+func playCrashes(protection protection, seed uint64, out *crashOutcome) {
 	draw := rand.New(rand.NewPCG(seed, 2))
 	engines := 3 + draw.IntN(10)
-	s := newDeadlySimulation(engines, 8, seed)
+	s := newCrashSimulation(engines, 8, seed)
 	s.shared = protection.shared
 	out.innocents += s.sendInnocents(float64(engines)*10, 20*time.Second, 0.2)
 	deadly := 1 + draw.IntN(2)
 	for i := range deadly {
-		s.sendDeadly(fmt.Sprint("body", i), times(draw, 25, time.Duration(100+draw.IntN(1500))*time.Millisecond)...)
+		s.sendCrashing(fmt.Sprint("body", i), times(draw, 25, time.Duration(100+draw.IntN(1500))*time.Millisecond)...)
 	}
 	s.bounded = protection.bounded
 	for range 2 {
@@ -391,9 +391,9 @@
 		{"counted by all boxes, not bounded", true, false},
 		{"counted by all boxes, bounded", true, true},
 	} {
-		out := deadlyOutcome{}
+		out := crashOutcome{}
 		for seed := range fleets {
-			playDeadly(p, uint64(seed), &out)
+			playCrashes(p, uint64(seed), &out)
 		}
 		t.Logf("%-48s %d requests: ends mean %.2f, most %d; others lost with an engine %.1f a request; bystanders refused %d of %d",
 			p.name, out.requests, float64(out.ends)/float64(out.requests), out.most, float64(out.lost)/float64(out.requests), out.refused, out.innocents)
@@ -412,7 +412,7 @@
 		seed := uint64(number)
 		draw := rand.New(rand.NewPCG(seed, 3))
 		engines := 4 + draw.IntN(9)
-		s := newDeadlySimulation(engines, 8, seed)
+		s := newCrashSimulation(engines, 8, seed)
 		innocents += s.sendInnocents(float64(engines)*10, 20*time.Second, 0.2)
 		for wave := range 4 {
 			s.at(s.now.Add(time.Duration(2+4*wave)*time.Second), func() { s.crashHalf() })
@@ -428,10 +428,10 @@
 }
 
 // crashHalf ends every other engine that is up.
-func (s *deadlySimulation) crashHalf() {
+func (s *crashSimulation) crashHalf() {
 	for i, endpoint := range s.pool.Endpoints() {
 		if i%2 == 0 && !s.down[endpoint.ID] {
-			s.crash(endpoint.ID, &deadlyRequest{Request: &Request{}})
+			s.crash(endpoint.ID, &crashRequest{Request: &Request{}})
 		}
 	}
 }
--- a/pkg/dispatch/decide.go
+++ b/pkg/dispatch/decide.go
@@ -67,11 +67,11 @@
 	p.tallyFor(a.name).Granted += req.cost
 	wait := p.predictedWait(e, now)
 	tokens, shared := e.missingTokens(&req.Prompt)
-	p.book(req, e, now)
+	p.addGrant(req, e, now)
 	return &Grant{Request: req, Endpoint: e.ID, Wait: wait, ReadTime: e.readTime(tokens), MissingTokens: shared}
 }
 
-func (p *Pool) book(req *Request, e *engine, now time.Time) *grant {
+func (p *Pool) addGrant(req *Request, e *engine, now time.Time) *grant {
 	tokens, _ := e.missingTokens(&req.Prompt)
 	g := &grant{req: req, engine: e, tokens: tokens, at: now}
 	p.grants[req.ID] = g
@@ -105,7 +105,7 @@
 
 // refuse removes a request from its queue and says when to retry.
 func (p *Pool) refuse(a *account, req *Request, now time.Time) Refusal {
-	over := p.isOverShare(a, req)
+	isOver := p.isOverShare(a, req)
 	queued := p.queued
 	p.dequeue(a, req)
 	if t := p.tallyFor(a.name); req.refuseNow {
@@ -113,7 +113,7 @@
 	} else {
 		t.RefusedAfterWait += req.cost
 	}
-	return Refusal{Request: req, RetryAfter: p.retryAfter(a, req, over, now), OverShare: over, NoEligibleEngine: !p.hasEligibleEngine(req, now), Queued: queued}
+	return Refusal{Request: req, RetryAfter: p.retryAfter(a, req, isOver, now), OverShare: isOver, NoEligibleEngine: !p.hasEligibleEngine(req, now), Queued: queued}
 }
 
 // maxWait returns how long a request may wait here, in nanoseconds.
--- a/pkg/dispatch/eligible.go
+++ b/pkg/dispatch/eligible.go
@@ -51,7 +51,7 @@
 // which takes 46 instead of 43 microseconds for 400 of them (BenchmarkDecide).
 func (p *Pool) hasEligibleEngine(req *Request, now time.Time) bool {
 	return slices.ContainsFunc(p.sorted, func(e *engine) bool {
-		return e.life.Admits() && req.canUse(e) && p.restEndsInTime(e, req, now)
+		return e.state.Admits() && req.canUse(e) && p.restEndsInTime(e, req, now)
 	})
 }
 
@@ -66,7 +66,7 @@
 // an engine can take it now, or none can.
 func (p *Pool) earliestRestEnd(req *Request, now time.Time) (earliest time.Time) {
 	for _, e := range p.sorted {
-		if !e.life.Admits() || !req.canUse(e) {
+		if !e.state.Admits() || !req.canUse(e) {
 			continue
 		}
 		until := p.restUntil(e, req)
--- a/pkg/dispatch/endpoints.go
+++ b/pkg/dispatch/endpoints.go
@@ -23,9 +23,9 @@
 			e = newEngine(endpoint, p.service.Engine.CacheTokens)
 			changed = true
 			if !initial {
-				e.life.AssumeCold(lifecycle.Started, now.Add(p.coldBound.Duration))
+				e.state.AssumeCold(lifecycle.Started, now.Add(p.coldBound.Duration))
 			}
-		case endpoint.Outdated(&e.Facts):
+		case endpoint.IsOutdatedBy(&e.Facts):
 			engines[endpoint.ID] = e
 			continue
 		}
@@ -36,21 +36,21 @@
 		return
 	}
 	p.engines = engines
-	p.sortEngines()
+	p.updateEngineOrder()
 }
 
 // updateEngine applies a newer entry of an endpoint to its engine.
 func (p *Pool) updateEngine(e *engine, endpoint route.Endpoint, now time.Time) {
 	e.Endpoint = endpoint
 	e.coldBound = p.coldBound
-	e.life.Update(endpoint.Facts, p.coldBound, now)
+	e.state.Update(endpoint.Facts, p.coldBound, now)
 	if e.Slots == 0 {
 		e.Slots = p.service.Engine.Slots
 	}
 }
 
 // sortEngines updates what depends on the set of engines.
-func (p *Pool) sortEngines() {
+func (p *Pool) updateEngineOrder() {
 	p.sorted = p.sorted[:0]
 	for _, e := range p.engines {
 		p.sorted = append(p.sorted, e)
@@ -64,23 +64,23 @@
 // engineAtStart returns the engine that a report about one instance of an endpoint concerns; nil
 // if there is none, or if that instance is over. A later instance than the known one replaces it
 // here. born is 0 if the report does not name the instance.
-func (p *Pool) engineAtStart(id string, born int64, now time.Time) *engine {
+func (p *Pool) engineOfInstance(id string, born int64, now time.Time) *engine {
 	e := p.engines[id]
 	if e == nil {
 		return nil
 	}
 	reported := lifecycle.Facts{Born: born}
 	switch {
-	case reported.Outdated(&e.Facts):
+	case reported.IsOutdatedBy(&e.Facts):
 		return nil
 	case reported.Supersedes(&e.Facts):
 		endpoint := e.Endpoint
 		endpoint.Born = born
 		e = newEngine(endpoint, p.service.Engine.CacheTokens)
-		e.life.AssumeCold(lifecycle.Started, now.Add(p.coldBound.Duration))
+		e.state.AssumeCold(lifecycle.Started, now.Add(p.coldBound.Duration))
 		p.updateEngine(e, endpoint, now)
 		p.engines[id] = e
-		p.sortEngines()
+		p.updateEngineOrder()
 	}
 	return e
 }
--- a/pkg/dispatch/engine.go
+++ b/pkg/dispatch/engine.go
@@ -18,7 +18,7 @@
 	hash uint64
 	// life decides whether and how much may be sent; coldBound limits this while the engine is
 	// cold.
-	life          lifecycle.State
+	state         lifecycle.State
 	coldBound     lifecycle.Bound
 	cacheCapacity int
 
@@ -122,10 +122,10 @@
 // missingTokens returns the number of tokens of a prompt that the engine has to read, and how
 // many of them belong to shared parts.
 func (e *engine) missingTokens(p *Prompt) (tokens, shared int) {
-	whole := true
+	prefixCached := true
 	for i, part := range p.Parts {
-		whole = whole && e.cacheIndex[part.ID] != nil
-		if whole {
+		prefixCached = prefixCached && e.cacheIndex[part.ID] != nil
+		if prefixCached {
 			continue
 		}
 		tokens += part.Tokens
@@ -172,7 +172,7 @@
 // isUsable reports whether the engine is healthy and may get new work. It does not check the
 // limit of a cold engine.
 func (e *engine) isUsable(now time.Time) bool {
-	return e.life.Admits() && now.After(e.ejectedUntil) && !e.isStalled(now)
+	return e.state.Admits() && now.After(e.ejectedUntil) && !e.isStalled(now)
 }
 
 // fits reports whether the engine has a slot and cache room for a prompt.
@@ -190,7 +190,7 @@
 		e.progressAt, e.readingSince = now, now
 	}
 	e.snapshot = engineSnapshot{}
-	e.life.RecordSent(now)
+	e.state.RecordSent(now)
 	e.pending = append(e.pending, g)
 	e.running++
 	e.privateTokens += g.req.Last().Tokens + g.req.ExpectedOutput()
@@ -306,7 +306,7 @@
 	e.consecutiveFailures++
 	e.ejectedUntil, e.failedAt = now.Add(ejection), now
 	// The engine may be back as a new instance before its entry reports it.
-	e.life.AssumeCold(lifecycle.Returned, e.ejectedUntil.Add(e.coldBound.Duration))
+	e.state.AssumeCold(lifecycle.Returned, e.ejectedUntil.Add(e.coldBound.Duration))
 }
 
 func (e *engine) recordSuccess() {
--- a/pkg/dispatch/exposure.go
+++ b/pkg/dispatch/exposure.go
@@ -18,10 +18,10 @@
 	if f.IsZero() {
 		return
 	}
-	if p.exposed[f] == nil {
-		p.exposed[f] = exposure{}
+	if p.exposures[f] == nil {
+		p.exposures[f] = exposure{}
 	}
-	p.exposed[f][g.engine]++
+	p.exposures[f][g.engine]++
 	if ends := p.Ledger.Check(f, g.at).Ends; ends > 0 {
 		g.engine.suspects[f] = ends
 	}
@@ -33,13 +33,13 @@
 	if f.IsZero() {
 		return
 	}
-	running := p.exposed[f]
+	running := p.exposures[f]
 	if running[g.engine]--; running[g.engine] <= 0 {
 		delete(running, g.engine)
 		delete(g.engine.suspects, f)
 	}
 	if len(running) == 0 {
-		delete(p.exposed, f)
+		delete(p.exposures, f)
 	}
 }
 
@@ -72,8 +72,8 @@
 		return placementScope{anyEngine: true}
 	}
 	status := p.Ledger.Check(req.Fingerprint, now)
-	running := p.exposed[req.Fingerprint]
-	if status.Quarantined() {
+	running := p.exposures[req.Fingerprint]
+	if status.IsQuarantined() {
 		return placementScope{}
 	}
 	scope := placementScope{exposed: running, fingerprint: req.Fingerprint, ends: status.Ends}
@@ -89,7 +89,7 @@
 
 // endReportDelay is the longest time after an engine's failure in which another box's report may
 // arrive that the engine ended under its request.
-const endReportDelay = 100 * time.Millisecond
+const maxEndReportDelay = 100 * time.Millisecond
 
 // preferredEngine returns the engine that a request's fingerprint ranks first among those that
 // may serve it. All boxes that know the same engines find the same one, whatever else they know.
@@ -102,7 +102,7 @@
 	usable := false
 	for _, e := range p.sorted {
 		canTake := p.snapshot(e, now).usable && p.allows(e, req, now)
-		if !canTake && now.Sub(e.failedAt) >= endReportDelay {
+		if !canTake && now.Sub(e.failedAt) >= maxEndReportDelay {
 			continue
 		}
 		if ends > 0 && p.Ledger.HasEnded(req.Fingerprint, e.instance()) {
@@ -138,23 +138,23 @@
 
 // maxOtherEnds returns, for a request under which engines ended, the most ends of any other such
 // request that runs at an engine; 0 for other requests.
-func (s placementScope) maxOtherEnds(e *engine) (most int) {
+func (s placementScope) maxOtherEnds(e *engine) (maxEnds int) {
 	if s.ends == 0 {
 		return 0
 	}
 	for other, ends := range e.suspects {
 		if other != s.fingerprint {
-			most = max(most, ends)
+			maxEnds = max(maxEnds, ends)
 		}
 	}
-	return most
+	return maxEnds
 }
 
 // isQuarantined reports whether a request must not go to any engine. Decide checks it for each
 // waiting request, which takes 37 instead of 24 microseconds for 400 of them (BenchmarkDecide),
 // so that a request that waits while its third engine ends is refused within milliseconds.
 func (p *Pool) isQuarantined(req *Request, now time.Time) bool {
-	return !req.Fingerprint.IsZero() && p.Ledger.Check(req.Fingerprint, now).Quarantined()
+	return !req.Fingerprint.IsZero() && p.Ledger.Check(req.Fingerprint, now).IsQuarantined()
 }
 
 // recordEnd records a router's report that an engine ended while it ran a request. Wherever else
@@ -162,7 +162,7 @@
 func (p *Pool) recordEnd(ended Ended, now time.Time) {
 	p.Ledger.Merge([]quarantine.End{ended.End}, "", now)
 	f := ended.End.Fingerprint
-	for e := range p.exposed[f] {
+	for e := range p.exposures[f] {
 		e.suspects[f] = p.Ledger.Check(f, now).Ends
 	}
 }
--- a/pkg/dispatch/exposure_test.go
+++ b/pkg/dispatch/exposure_test.go
@@ -70,7 +70,7 @@
 		first := submit(p, req(1), start)[0].(Grant).Endpoint
 		p.End("1", Unreachable{}, start)
 		So(submit(p, req(2), start.Add(time.Millisecond)), ShouldBeEmpty)
-		next := p.Decide(start.Add(endReportDelay))
+		next := p.Decide(start.Add(maxEndReportDelay))
 		So(next, ShouldHaveLength, 1)
 		So(next[0].(Grant).Endpoint, ShouldNotEqual, first)
 	})
@@ -108,6 +108,6 @@
 		submit(p, req(1), start)
 		p.SetEndpoints([]route.Endpoint{{ID: "e9", Service: "llm", Slots: 64}}, start)
 		p.End("1", Broken{}, start)
-		So(p.exposed, ShouldBeEmpty)
+		So(p.exposures, ShouldBeEmpty)
 	})
 }
--- a/pkg/dispatch/fairness_test.go
+++ b/pkg/dispatch/fairness_test.go
@@ -46,7 +46,7 @@
 	engines int
 	// first and second are the demands of the two customers and rest that of all others
 	// together, in tokens per second and engine.
-	first, second, rest float64
+	first, second, others float64
 	// routers is the number of routers to which the first customer's callers come; the second's
 	// come to all.
 	routers int
@@ -71,7 +71,7 @@
 		{digestCustomer("second", s.second*engines), fleetRouters},
 	}
 	for i := range otherCustomers {
-		groups = append(groups, callerGroup{digestCustomer(fmt.Sprint("other", i), s.rest*engines/otherCustomers), 1 + i%fleetRouters})
+		groups = append(groups, callerGroup{digestCustomer(fmt.Sprint("other", i), s.others*engines/otherCustomers), 1 + i%fleetRouters})
 	}
 	f.play(length, s.takeOver, groups...)
 	return f
@@ -80,15 +80,15 @@
 func TestSharesOfTwoFloods(t *testing.T) {
 	const length = 9 * time.Second
 	for _, s := range []scenario{
-		{engines: 60, first: 33000, second: 170000, rest: 48000, routers: 1},
-		{engines: 60, first: 33000, second: 170000, rest: 48000, routers: fleetRouters},
-		{engines: 60, first: 33000, second: 170000, rest: 67000, routers: 1},
-		{engines: 30, first: 66000, second: 330000, rest: 47000, routers: 1},
-		{engines: 60, first: 170000, second: 170000, rest: 48000, routers: 1},
-		{engines: 60, first: 33000, second: 170000, rest: 48000, routers: 1, takeOver: 4 * time.Second},
+		{engines: 60, first: 33000, second: 170000, others: 48000, routers: 1},
+		{engines: 60, first: 33000, second: 170000, others: 48000, routers: fleetRouters},
+		{engines: 60, first: 33000, second: 170000, others: 67000, routers: 1},
+		{engines: 30, first: 66000, second: 330000, others: 47000, routers: 1},
+		{engines: 60, first: 170000, second: 170000, others: 48000, routers: 1},
+		{engines: 60, first: 33000, second: 170000, others: 48000, routers: 1, takeOver: 4 * time.Second},
 	} {
 		Convey(fmt.Sprintf("No customer that is refused gets less than half of another: %+v", s), t, func() {
-			So(s.play(length).unfair(0.5), ShouldBeEmpty)
+			So(s.play(length).findUnfair(0.5), ShouldBeEmpty)
 		})
 	}
 }
@@ -99,7 +99,7 @@
 // engines only, and 0.77 since they also get engines that delay little.
 func TestSmallCustomersBesideFloods(t *testing.T) {
 	Convey("Small customers get most of what they request, retries included", t, func() {
-		f := scenario{engines: 60, first: 33000, second: 170000, rest: 48000, routers: 1}.play(9 * time.Second)
+		f := scenario{engines: 60, first: 33000, second: 170000, others: 48000, routers: 1}.play(9 * time.Second)
 		totalRequested, totalGot := 0.0, 0.0
 		for i := range otherCustomers {
 			requested, got := f.rates(fmt.Sprint("other", i))
@@ -118,14 +118,14 @@
 			engines: 15 + draw.IntN(30),
 			first:   20000 * float64(1+draw.IntN(5)),
 			second:  20000 * float64(1+draw.IntN(30)),
-			rest:    10000 * float64(2+draw.IntN(6)),
+			others:  10000 * float64(2+draw.IntN(6)),
 			routers: 1 + draw.IntN(fleetRouters),
 		}
 		if draw.IntN(2) == 0 {
 			s.takeOver = time.Duration(1+draw.IntN(6)) * time.Second
 		}
 		Convey(fmt.Sprintf("No customer that is refused gets less than half of another: %+v", s), t, func() {
-			So(s.play(length).unfair(0.5), ShouldBeEmpty)
+			So(s.play(length).findUnfair(0.5), ShouldBeEmpty)
 		})
 	}
 }
@@ -181,7 +181,7 @@
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 11, 16, 29, 31, 34, 39, 43, 54, 59} {
 		d := drawFleet(rand.New(rand.NewPCG(seed, 11)))
 		Convey(fmt.Sprintf("No customer that is refused gets less than 0.6 of another: seed %d, %+v", seed, d), t, func() {
-			So(d.play(length).unfair(0.6), ShouldBeEmpty)
+			So(d.play(length).findUnfair(0.6), ShouldBeEmpty)
 		})
 	}
 	// In the first second nothing is known of any customer, so the one that requests most gets
@@ -189,7 +189,7 @@
 	const changed = 45
 	d := drawFleet(rand.New(rand.NewPCG(changed, 11)))
 	Convey(fmt.Sprintf("Nor less than half if the dispatching box changes a second after the start: %+v", d), t, func() {
-		So(d.play(length).unfair(0.5), ShouldBeEmpty)
+		So(d.play(length).findUnfair(0.5), ShouldBeEmpty)
 	})
 }
 
--- a/pkg/dispatch/fleet_simulation_test.go
+++ b/pkg/dispatch/fleet_simulation_test.go
@@ -186,7 +186,7 @@
 // unfair describes the first six seconds in each of which a customer was refused and in which it
 // got less than a fraction of what was due to it: second by second, the smaller of what it
 // requested and what the most served customer got. It returns "" if there are none.
-func (f *fleetSimulation) unfair(fraction float64) string {
+func (f *fleetSimulation) findUnfair(fraction float64) string {
 	const span = 6
 	length := int(f.now.Sub(f.begun) / time.Second)
 	for from := 0; from+span <= length; from++ {
--- a/pkg/dispatch/groups_test.go
+++ b/pkg/dispatch/groups_test.go
@@ -18,7 +18,7 @@
 		length          = 8 * time.Second
 		// least is the minimum that a customer has to get, as a fraction of the smaller of what
 		// it requested and what the most served customer got.
-		least = 0.6
+		minFraction = 0.6
 	)
 	Convey("A customer whose prompts go to one group gets what others get over all groups", t, func() {
 		fleet := make([]*simulation, groups)
@@ -55,13 +55,13 @@
 				got[key.customer] += one.grantedTokens
 			}
 		}
-		most := 0.0
+		maxGot := 0.0
 		for _, tokens := range got {
-			most = max(most, tokens)
+			maxGot = max(maxGot, tokens)
 		}
 		for customer := range requested {
 			t.Logf("%s requested %.2f and got %.2f million tokens", customer, requested[customer]/1e6, got[customer]/1e6)
 		}
-		So(got["narrow"], ShouldBeGreaterThan, least*min(requested["narrow"], most))
+		So(got["narrow"], ShouldBeGreaterThan, minFraction*min(requested["narrow"], maxGot))
 	})
 }
--- a/pkg/dispatch/leaders_test.go
+++ b/pkg/dispatch/handover_test.go
@@ -17,11 +17,11 @@
 // leadersSimulation has boxes that change the box which dispatches for them. Each has a pool
 // with its own record of running requests and its own ledger, and receives updates of the others
 // with a delay.
-type leadersSimulation struct {
+type handoverSimulation struct {
 	*simulation
-	boxes []*leadersBox
+	boxes []*handoverBox
 	// running are the requests at each engine.
-	running map[string][]*leadersRequest
+	running map[string][]*handoverRequest
 	down    map[string]bool
 	starts  int
 	// arrived is when the last message from one box to another arrived.
@@ -35,7 +35,7 @@
 	killAfter time.Duration
 }
 
-type leadersBox struct {
+type handoverBox struct {
 	number int
 	pool   *Pool
 	ledger *quarantine.Ledger
@@ -43,24 +43,24 @@
 	dispatcher int
 	// gone is set once the box is gone, and stops once it stops; knowsGone are the other boxes
 	// that it knows to be gone or stopping.
-	gone, stops bool
-	knowsGone   map[int]bool
+	gone, stopping bool
+	knownGone      map[int]bool
 	// waiting and running are its requests by ID.
-	waiting, running map[string]*leadersRequest
+	waiting, running map[string]*handoverRequest
 }
 
-type leadersRequest struct {
+type handoverRequest struct {
 	*Request
-	box    *leadersBox
-	engine string
-	kills  bool
-	over   bool
+	box           *handoverBox
+	engine        string
+	crashesEngine bool
+	ended         bool
 }
 
-func newLeadersSimulation(engines, boxes int, seed uint64) *leadersSimulation {
-	s := &leadersSimulation{
+func newHandoverSimulation(engines, boxes int, seed uint64) *handoverSimulation {
+	s := &handoverSimulation{
 		simulation: newSimulation(engines, 0, 45000),
-		running:    map[string][]*leadersRequest{},
+		running:    map[string][]*handoverRequest{},
 		down:       map[string]bool{},
 		arrived:    map[[2]int]time.Time{},
 		ends:       map[quarantine.Fingerprint]int{},
@@ -73,37 +73,37 @@
 		pool := &Pool{Rules: DefaultRules(), Rand: rand.New(rand.NewPCG(seed, uint64(number))), Ledger: ledger}
 		pool.Configure(route.Service{Name: "llm", Engine: &route.Engine{Slots: 128, CacheTokens: 1000000}}, 0)
 		pool.SetEndpoints(endpoints, s.now)
-		s.boxes = append(s.boxes, &leadersBox{
+		s.boxes = append(s.boxes, &handoverBox{
 			number:    number,
 			pool:      pool,
 			ledger:    ledger,
-			knowsGone: map[int]bool{},
-			waiting:   map[string]*leadersRequest{},
-			running:   map[string]*leadersRequest{},
+			knownGone: map[int]bool{},
+			waiting:   map[string]*handoverRequest{},
+			running:   map[string]*handoverRequest{},
 		})
 	}
 	return s
 }
 
 // ranksFirst reports whether a box is the dispatcher, by what it knows of the others.
-func (b *leadersBox) ranksFirst() bool {
+func (b *handoverBox) ranksFirst() bool {
 	for number := range b.number {
-		if !b.knowsGone[number] {
+		if !b.knownGone[number] {
 			return false
 		}
 	}
-	return !b.stops
+	return !b.stopping
 }
 
 // hop returns a random time for a message between two boxes.
-func (s *leadersSimulation) hop() time.Duration {
+func (s *handoverSimulation) hop() time.Duration {
 	return time.Millisecond + time.Duration(s.rand.ExpFloat64()*float64(3*time.Millisecond))
 }
 
-func (s *leadersSimulation) after(wait time.Duration, do func()) { s.at(s.now.Add(wait), do) }
+func (s *handoverSimulation) after(wait time.Duration, do func()) { s.at(s.now.Add(wait), do) }
 
 // message delivers something from one box to another, in order.
-func (s *leadersSimulation) message(from, to *leadersBox, do func()) {
+func (s *handoverSimulation) message(from, to *handoverBox, do func()) {
 	link := [2]int{from.number, to.number}
 	at := later(s.now.Add(s.hop()), s.arrived[link].Add(1))
 	s.arrived[link] = at
@@ -112,7 +112,7 @@
 
 // play runs the simulation for a time, in which all boxes decide on the requests that they
 // received.
-func (s *leadersSimulation) play(length time.Duration) {
+func (s *handoverSimulation) play(length time.Duration) {
 	const tick = 4 * time.Millisecond
 	end := s.now.Add(length)
 	for at := s.now; at.Before(end); at = at.Add(tick) {
@@ -127,9 +127,9 @@
 	s.until(end)
 }
 
-func (s *leadersSimulation) receive(req *leadersRequest) {
+func (s *handoverSimulation) receive(req *handoverRequest) {
 	b := req.box
-	if b.gone || b.ledger.Check(req.Fingerprint, s.now).Quarantined() {
+	if b.gone || b.ledger.Check(req.Fingerprint, s.now).IsQuarantined() {
 		return
 	}
 	b.waiting[req.ID] = req
@@ -137,7 +137,7 @@
 }
 
 // submit sends a request to the dispatcher of its box.
-func (s *leadersSimulation) submit(req *leadersRequest) {
+func (s *handoverSimulation) submit(req *handoverRequest) {
 	of, number := req.box, req.box.dispatcher
 	sent := *req.Request
 	sent.Stream = uint64(of.number + 1)
@@ -146,7 +146,7 @@
 
 // send passes a call to a dispatcher's pool, unless the sending box has another dispatcher by
 // the time it arrives.
-func (s *leadersSimulation) send(of *leadersBox, number int, do func(*Pool)) {
+func (s *handoverSimulation) send(of *handoverBox, number int, do func(*Pool)) {
 	to := s.boxes[number]
 	if to == of {
 		do(to.pool)
@@ -159,7 +159,7 @@
 	})
 }
 
-func (s *leadersSimulation) decide(b *leadersBox) {
+func (s *handoverSimulation) decide(b *handoverBox) {
 	b.pool.Contested = !b.ranksFirst()
 	for _, d := range b.pool.Decide(s.now) {
 		switch d := d.(type) {
@@ -171,7 +171,7 @@
 	}
 }
 
-func (s *leadersSimulation) deliver(by *leadersBox, g Grant) {
+func (s *handoverSimulation) deliver(by *handoverBox, g Grant) {
 	to := s.boxes[g.Request.Stream-1]
 	deliver := func() {
 		req := to.waiting[g.Request.ID]
@@ -189,7 +189,7 @@
 	s.message(by, to, deliver)
 }
 
-func (s *leadersSimulation) refuse(by *leadersBox, d Refusal) {
+func (s *handoverSimulation) refuse(by *handoverBox, d Refusal) {
 	to := s.boxes[d.Request.Stream-1]
 	if to.dispatcher == by.number && to.waiting[d.Request.ID] != nil {
 		delete(to.waiting, d.Request.ID)
@@ -197,18 +197,18 @@
 	}
 }
 
-func (s *leadersSimulation) run(req *leadersRequest, g Grant) {
+func (s *handoverSimulation) run(req *handoverRequest, g Grant) {
 	b := req.box
 	if s.down[g.Endpoint] {
 		s.settle(req, Unreachable{})
 		if next := *req.Request; len(next.Excluded) < 2 {
 			next.Excluded = append(slices.Clone(next.Excluded), g.Endpoint)
-			again := &leadersRequest{Request: &next, box: b, kills: req.kills}
-			s.receive(again)
+			retry := &handoverRequest{Request: &next, box: b, crashesEngine: req.crashesEngine}
+			s.receive(retry)
 		}
 		return
 	}
-	if b.ledger.Check(req.Fingerprint, s.now).Quarantined() {
+	if b.ledger.Check(req.Fingerprint, s.now).IsQuarantined() {
 		s.settle(req, Unused{})
 		return
 	}
@@ -219,13 +219,13 @@
 		s.cached[g.Endpoint] = map[uint64]bool{}
 	}
 	begins := s.read(g)
-	if req.kills {
+	if req.crashesEngine {
 		s.at(begins.Add(s.killAfter), func() { s.crash(req) })
 		return
 	}
 	s.at(begins, func() { s.report(b, func(p *Pool) { p.Begin(req.ID, s.now) }) })
 	s.at(begins.Add(time.Duration(req.ExpectedOutput())*s.tokenInterval), func() {
-		if req.over {
+		if req.ended {
 			return
 		}
 		s.removeRunning(req)
@@ -236,13 +236,13 @@
 }
 
 // removeRunning removes a request from its engine.
-func (s *leadersSimulation) removeRunning(req *leadersRequest) {
-	req.over = true
-	s.running[req.engine] = slices.DeleteFunc(s.running[req.engine], func(other *leadersRequest) bool { return other == req })
+func (s *handoverSimulation) removeRunning(req *handoverRequest) {
+	req.ended = true
+	s.running[req.engine] = slices.DeleteFunc(s.running[req.engine], func(other *handoverRequest) bool { return other == req })
 }
 
 // report passes a call to a box's own pool and to its dispatcher's.
-func (s *leadersSimulation) report(b *leadersBox, do func(*Pool)) {
+func (s *handoverSimulation) report(b *handoverBox, do func(*Pool)) {
 	if b.gone {
 		return
 	}
@@ -252,23 +252,23 @@
 	}
 }
 
-func (s *leadersSimulation) settle(req *leadersRequest, outcome Outcome) {
+func (s *handoverSimulation) settle(req *handoverRequest, outcome Outcome) {
 	delete(req.box.running, req.ID)
 	s.report(req.box, func(p *Pool) { p.End(req.ID, outcome, s.now) })
 }
 
 // crash ends the engine of a deadly request, with all requests that run there.
-func (s *leadersSimulation) crash(by *leadersRequest) {
-	if by.over {
+func (s *handoverSimulation) crash(by *handoverRequest) {
+	if by.ended {
 		return
 	}
 	engine := by.engine
 	s.ends[by.Fingerprint]++
 	s.down[engine] = true
-	life := quarantine.InstanceOf("llm", engine, 0)
+	instance := quarantine.InstanceOf("llm", engine, 0)
 	for _, req := range slices.Clone(s.running[engine]) {
 		s.removeRunning(req)
-		if !req.kills {
+		if !req.crashesEngine {
 			s.lost++
 		}
 		b := req.box
@@ -276,7 +276,7 @@
 			if b.gone {
 				return
 			}
-			end := b.ledger.RecordEnd(req.Fingerprint, life, s.now)
+			end := b.ledger.RecordEnd(req.Fingerprint, instance, s.now)
 			s.settle(req, Ended{End: end})
 			s.shareEnds(b)
 		})
@@ -287,8 +287,8 @@
 }
 
 // shareEnds sends the ends that one box knows to the others.
-func (s *leadersSimulation) shareEnds(from *leadersBox) {
-	ends, _ := from.ledger.Since(0, "", s.now)
+func (s *handoverSimulation) shareEnds(from *handoverBox) {
+	ends, _ := from.ledger.EndsSince(0, "", s.now)
 	for _, other := range s.boxes {
 		if other != from {
 			s.message(from, other, func() { other.ledger.Merge(ends, "", s.now) })
@@ -297,7 +297,7 @@
 }
 
 // replace restarts an engine under another ID; boxes learn it at different times.
-func (s *leadersSimulation) replace(engine, back string) {
+func (s *handoverSimulation) replace(engine, back string) {
 	for _, b := range s.boxes {
 		s.after(s.hop(), func() {
 			endpoints := b.pool.Endpoints()
@@ -312,7 +312,7 @@
 }
 
 // switchTo changes the dispatcher of a box.
-func (s *leadersSimulation) switchTo(b *leadersBox, number int) {
+func (s *handoverSimulation) switchTo(b *handoverBox, number int) {
 	if b.gone || b.dispatcher == number {
 		return
 	}
@@ -333,7 +333,7 @@
 
 // failBox removes a box: at once with all its requests, or by a planned stop, in which it
 // finishes those that it has. The others switch to the next box within a time.
-func (s *leadersSimulation) failBox(number int, killed bool, within time.Duration) {
+func (s *handoverSimulation) failBox(number int, killed bool, within time.Duration) {
 	gone := s.boxes[number]
 	next := (number + 1) % len(s.boxes)
 	for _, b := range s.boxes {
@@ -341,14 +341,14 @@
 			continue
 		}
 		s.after(time.Duration(s.rand.Int64N(int64(within))), func() {
-			b.knowsGone[number] = true
+			b.knownGone[number] = true
 			if b.dispatcher == number {
 				s.switchTo(b, next)
 			}
 		})
 	}
 	if !killed {
-		gone.stops = true
+		gone.stopping = true
 		s.after(s.hop(), func() { s.switchTo(gone, next) })
 		return
 	}
@@ -359,7 +359,7 @@
 }
 
 // divert makes a box use another dispatcher, or dispatch for itself, for a while.
-func (s *leadersSimulation) divert(b *leadersBox, number int, length time.Duration) {
+func (s *handoverSimulation) divert(b *handoverBox, number int, length time.Duration) {
 	before := b.dispatcher
 	s.switchTo(b, number)
 	s.after(length, func() {
@@ -370,12 +370,12 @@
 }
 
 // sendInnocents sends innocent requests to all boxes at a rate per second.
-func (s *leadersSimulation) sendInnocents(perSecond float64, length time.Duration) (number int) {
+func (s *handoverSimulation) sendInnocents(perSecond float64, length time.Duration) (number int) {
 	from := &source{customer: "others", route: "chat", perSecond: perSecond, latencyTarget: 600 * time.Millisecond, shared: 350, own: 1110, sharedParts: 160, output: 170}
 	end := s.now.Add(length)
 	for at := s.next(s.now, from); at.Before(end); at = s.next(at, from) {
 		number++
-		req := &leadersRequest{Request: s.newRequest(from, number, at), box: s.boxes[s.rand.IntN(len(s.boxes))]}
+		req := &handoverRequest{Request: s.newRequest(from, number, at), box: s.boxes[s.rand.IntN(len(s.boxes))]}
 		req.Fingerprint = fingerprintOf("others", req.ID)
 		s.at(at, func() { s.receive(req) })
 	}
@@ -383,7 +383,7 @@
 }
 
 // sendWaves sends repeats of one deadly request to all boxes at once, several times.
-func (s *leadersSimulation) sendWaves(body string, from, gap time.Duration, count, each int) {
+func (s *handoverSimulation) sendWaves(body string, from, gap time.Duration, count, each int) {
 	// Repeats may differ in the parts that they report for their prompt, long ones included.
 	shared := 350
 	if s.rand.IntN(2) == 0 {
@@ -394,7 +394,7 @@
 		for i := range each * len(s.boxes) {
 			spread := time.Duration(s.rand.IntN(5)) * time.Millisecond
 			at := s.now.Add(from + time.Duration(wave)*gap + spread)
-			req := &leadersRequest{Request: s.newRequest(source, 0, at), box: s.boxes[i%len(s.boxes)], kills: true}
+			req := &handoverRequest{Request: s.newRequest(source, 0, at), box: s.boxes[i%len(s.boxes)], crashesEngine: true}
 			req.ID = fmt.Sprintf("%s-%d-%d", body, wave, i)
 			req.Fingerprint = fingerprintOf("one", body)
 			s.at(at, func() { s.receive(req) })
@@ -402,7 +402,7 @@
 	}
 }
 
-func (s *leadersSimulation) maxEnds() (most int) {
+func (s *handoverSimulation) maxEnds() (most int) {
 	for _, count := range s.ends {
 		most = max(most, count)
 	}
@@ -411,10 +411,10 @@
 
 // playLeaders runs a fleet drawn from a seed, with one change of the dispatcher while repeats
 // arrive.
-func playLeaders(seed uint64) (*leadersSimulation, string) {
+func playHandover(seed uint64) (*handoverSimulation, string) {
 	draw := rand.New(rand.NewPCG(seed, 6))
 	engines, boxes := 4+draw.IntN(12), 3+draw.IntN(5)
-	s := newLeadersSimulation(engines, boxes, seed)
+	s := newHandoverSimulation(engines, boxes, seed)
 	s.killAfter = time.Duration(10+draw.IntN(150)) * time.Millisecond
 	s.sendInnocents(float64(engines)*5, 8*time.Second)
 	at := 4*time.Second + time.Duration(draw.IntN(200))*time.Millisecond
@@ -457,7 +457,7 @@
 // switch to another dispatcher, or dispatch for themselves, and its repeats arrive.
 func TestMostEndsUnderChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, name := playLeaders(rapid.Uint64().Draw(t, "seed"))
+		s, name := playHandover(rapid.Uint64().Draw(t, "seed"))
 		if most := s.maxEnds(); most > quarantine.MaxEnds {
 			t.Fatalf("a request ended %d engines: %s", most, name)
 		}
@@ -470,7 +470,7 @@
 	type figures struct{ plays, broken, most, ends, lost, served, refused int }
 	by := map[string]*figures{}
 	for seed := range fleetsOr(8) {
-		s, name := playLeaders(uint64(seed))
+		s, name := playHandover(uint64(seed))
 		f := by[name]
 		if f == nil {
 			f = &figures{}
--- a/pkg/dispatch/place.go
+++ b/pkg/dispatch/place.go
@@ -169,9 +169,9 @@
 // to be cold afterwards, as it may have restarted.
 func (p *Pool) isUsable(e *engine, now time.Time) bool {
 	if e.isStalled(now) {
-		e.life.AssumeCold(lifecycle.Returned, now.Add(e.coldBound.Duration))
+		e.state.AssumeCold(lifecycle.Returned, now.Add(e.coldBound.Duration))
 	}
-	return e.isUsable(now) && e.life.CanSend(e.coldBound, p.ColdFraction, now)
+	return e.isUsable(now) && e.state.CanSend(e.coldBound, p.ColdFraction, now)
 }
 
 // bestSnapshot combines the shortest wait of any engine with whether any is idle. The wait is
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -121,8 +121,8 @@
 	grants   map[string]*grant
 	parts    map[uint64]*partStats
 	// exposed is where requests run, by fingerprint.
-	exposed map[quarantine.Fingerprint]exposure
-	queued  int
+	exposures map[quarantine.Fingerprint]exposure
+	queued    int
 	// round numbers the calls of Decide. A request that found no room in a round finds none
 	// later in it, as engines only fill up.
 	round uint64
@@ -156,7 +156,7 @@
 		p.grants = map[string]*grant{}
 		p.parts = map[uint64]*partStats{}
 		p.tallies = map[string]*Tally{}
-		p.exposed = map[quarantine.Fingerprint]exposure{}
+		p.exposures = map[quarantine.Fingerprint]exposure{}
 		p.rests = map[uint64]*lifecycle.Rests{}
 		p.round = 1
 		if p.Ledger == nil {
@@ -216,7 +216,7 @@
 	req.cost = req.Cost()
 	a := p.account(req.Customer)
 	a.addRequested(req, now, p.Rules.Window)
-	g := p.book(req, e, now)
+	g := p.addGrant(req, e, now)
 	g.adopted = true
 	if begun {
 		g.begun = true
@@ -275,7 +275,7 @@
 		}
 	case Done:
 		if g.begun && !g.adopted {
-			p.tallyFor(g.req.Customer).Answered += g.req.cost
+			p.tallyFor(g.req.Customer).Completed += g.req.cost
 		}
 	}
 }
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -55,7 +55,7 @@
 		p.Begin("1", later)
 		// Fill the home beyond its maximum backlog.
 		for i := range 3 {
-			p.book(newRequest(fmt.Sprint("fill", i), "b", later, Part{ID: uint64(200 + i), Tokens: 6000}), p.engines[home], later)
+			p.addGrant(newRequest(fmt.Sprint("fill", i), "b", later, Part{ID: uint64(200 + i), Tokens: 6000}), p.engines[home], later)
 		}
 		So(submit(p, newRequest("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later), ShouldBeEmpty)
 		p.Begin("fill0", later.Add(50*time.Millisecond))
@@ -70,9 +70,9 @@
 		home := submit(p, newRequest("1", "a", start, short, Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
 		p.Begin("1", start.Add(initialLag))
 		later := start.Add(time.Second)
-		p.book(newRequest("fill", "b", later, Part{ID: 200, Tokens: 4000}), p.engines[home], later)
+		p.addGrant(newRequest("fill", "b", later, Part{ID: 200, Tokens: 4000}), p.engines[home], later)
 		So(submit(p, newRequest("2", "a", later, short, Part{ID: 101, Tokens: 100}), later)[0].(Grant).Endpoint, ShouldEqual, home)
-		p.book(newRequest("more", "b", later, Part{ID: 201, Tokens: 8000}), p.engines[home], later)
+		p.addGrant(newRequest("more", "b", later, Part{ID: 201, Tokens: 8000}), p.engines[home], later)
 		So(submit(p, newRequest("3", "a", later, short, Part{ID: 102, Tokens: 100}), later)[0].(Grant).Endpoint, ShouldNotEqual, home)
 	})
 	Convey("If its home is far behind, it goes to another one", t, func() {
@@ -80,7 +80,7 @@
 		home := submit(p, newRequest("1", "a", start, shared(7), Part{ID: 100, Tokens: 100}), start)[0].(Grant).Endpoint
 		later := start.Add(2 * time.Second)
 		p.Begin("1", later)
-		p.book(newRequest("fill", "b", later, Part{ID: 200, Tokens: 100000}), p.engines[home], later)
+		p.addGrant(newRequest("fill", "b", later, Part{ID: 200, Tokens: 100000}), p.engines[home], later)
 		decided := submit(p, newRequest("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later)
 		So(decided, ShouldHaveLength, 1)
 		So(decided[0].(Grant).Endpoint, ShouldNotEqual, home)
@@ -106,7 +106,7 @@
 	})
 	Convey("A request goes to no engine that refused it, nor to one that is leaving", t, func() {
 		p := newTestPool(2, 0)
-		p.engines["e0"].life.Leaving = true
+		p.engines["e0"].state.Leaving = true
 		req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
 		req.Excluded = []string{"e1"}
 		// No engine is left that may serve it: it is refused at once instead of being held until
--- a/pkg/dispatch/refusal.go
+++ b/pkg/dispatch/refusal.go
@@ -58,24 +58,24 @@
 // soon enough. With 1.5 to 3 s for all customers over their share, and latency targets of 0.3 to
 // 0.6 s, every retry was late: on days with failures 5 in 100 less of what was requested was
 // answered in time.
-func (p *Pool) retryAfter(a *account, req *Request, over bool, now time.Time) time.Duration {
+func (p *Pool) retryAfter(a *account, req *Request, isOver bool, now time.Time) time.Duration {
 	if left := p.earliestRestEnd(req, now).Sub(now); left > 0 {
 		return RetryAfterRest(left, p.Rand.Float64())
 	}
-	wait := p.timeUntilRoom(a, req, over, now)
+	wait := p.timeUntilRoom(a, req, isOver, now)
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	return wait/4 + time.Duration(p.Rand.Float64()*float64(wait/2))
 }
 
 // timeUntilRoom returns the predicted time until there is room for a refused request.
-func (p *Pool) timeUntilRoom(a *account, req *Request, over bool, now time.Time) time.Duration {
+func (p *Pool) timeUntilRoom(a *account, req *Request, isOver bool, now time.Time) time.Duration {
 	if !p.hasEligibleEngine(req, now) {
 		return maxRetryAfter
 	}
 	if p.best.wait >= time.Hour {
 		return unknownRetryAfter
 	}
-	if over {
+	if isOver {
 		return p.drainTime(a.queue(req.Route), now)
 	}
 	return p.best.wait - p.maxBacklog()/2
--- a/pkg/dispatch/rest_simulation_test.go
+++ b/pkg/dispatch/rest_simulation_test.go
@@ -37,12 +37,12 @@
 	bindsAll bool
 	// retries is how often a caller retries, at any box. retryElsewhere makes it retry at once
 	// if another box may be served.
-	retries        int
+	maxRetries     int
 	retryElsewhere bool
 	// givenUp counts callers without retries left. waited sums up, for the cameBack callers
 	// whose retry reached an engine, the time since their first try.
-	givenUp, cameBack int
-	waited            time.Duration
+	givenUp, servedRetries int
+	waited                 time.Duration
 	// retriedEarly counts refusals with a RetryAfter that ends before any engine takes requests
 	// of the box.
 	retriedEarly int
@@ -86,8 +86,8 @@
 	endpoint string
 	tries    int
 	// returned counts the retries of its caller, whose first try was at firstAt.
-	returned int
-	firstAt  time.Time
+	retries int
+	firstAt time.Time
 }
 
 const (
@@ -169,25 +169,25 @@
 	if refusal.NoEligibleEngine && s.now.Add(after).Before(s.pool.earliestRestEnd(req.Request, s.now)) {
 		s.retriedEarly++
 	}
-	if s.retryElsewhere && refusal.NoEligibleEngine && s.servedElsewhere(req) {
+	if s.retryElsewhere && refusal.NoEligibleEngine && s.canRetryElsewhere(req) {
 		after = time.Duration(float64(minRetryAfter) * (0.5 + s.rand.Float64()))
 	}
 	// Like real callers, it waits for at most a third of its remaining time.
-	const patience = 12 * time.Second
-	after = min(after, (patience-s.now.Sub(req.firstAt))/3)
-	if req.returned >= s.retries {
+	const callerTimeout = 12 * time.Second
+	after = min(after, (callerTimeout-s.now.Sub(req.firstAt))/3)
+	if req.retries >= s.maxRetries {
 		s.givenUp++
 		return
 	}
 	again := *req.Request
 	again.ID, again.Arrived, again.Excluded = req.ID+"r", s.now.Add(after), nil
-	retried := &restRequest{Request: &again, box: s.boxes[s.rand.IntN(len(s.boxes))], returned: req.returned + 1, firstAt: req.firstAt}
+	retried := &restRequest{Request: &again, box: s.boxes[s.rand.IntN(len(s.boxes))], retries: req.retries + 1, firstAt: req.firstAt}
 	s.at(again.Arrived, func() { s.submit(retried) })
 }
 
 // servedElsewhere reports whether, by the rests known to the dispatching box, some engine
 // accepts requests of another box.
-func (s *restSimulation) servedElsewhere(req *restRequest) bool {
+func (s *restSimulation) canRetryElsewhere(req *restRequest) bool {
 	for _, e := range s.pool.sorted {
 		for _, box := range s.boxes {
 			other := *req.Request
@@ -204,7 +204,7 @@
 func (s *restSimulation) refuse(req *restRequest) {
 	s.refused++
 	for _, e := range s.pool.sorted {
-		if e.isUsable(s.now) && len(e.pending) == 0 && e.fits(&req.Prompt) && s.wouldTake(req.box, e.ID) {
+		if e.isUsable(s.now) && len(e.pending) == 0 && e.fits(&req.Prompt) && s.wouldAccept(req.box, e.ID) {
 			s.refusedDespiteRoom++
 			return
 		}
@@ -212,7 +212,7 @@
 }
 
 // wouldTake reports whether an engine accepts requests of a box now.
-func (s *restSimulation) wouldTake(box *restBox, engine string) bool {
+func (s *restSimulation) wouldAccept(box *restBox, engine string) bool {
 	return !s.overloads[engine].rejects(box, s.now) && !s.now.Before(box.restUntil[engine]) && !box.reportedLeaving[engine]
 }
 
@@ -260,8 +260,8 @@
 		return
 	}
 	s.served++
-	if req.returned > 0 {
-		s.cameBack++
+	if req.retries > 0 {
+		s.servedRetries++
 		s.waited += s.now.Sub(req.firstAt)
 	}
 	begins := s.read(g)
--- a/pkg/dispatch/rest_test.go
+++ b/pkg/dispatch/rest_test.go
@@ -135,13 +135,13 @@
 // QUAYLEAD_FLEETS=60 runs 60 random fleets, and -v prints the figures.
 func TestReturnAfterRest(t *testing.T) {
 	for _, retries := range []int{1, 3} {
-		for _, soonElsewhere := range []bool{false, true} {
+		for _, retryElsewhere := range []bool{false, true} {
 			out := restSimulation{}
 			for seed := range fleetsOr(6) {
 				draw := rand.New(rand.NewPCG(uint64(seed), 2))
 				engines := 2 + draw.IntN(4)
 				s := newRestSimulation(engines, 8, uint64(seed), reportedOnce)
-				s.retries, s.retryElsewhere = retries, soonElsewhere
+				s.maxRetries, s.retryElsewhere = retries, retryElsewhere
 				s.draw(draw, engines, 1, 0)
 				s.callers(float64(engines)*14, 12*time.Second)
 				s.until(s.now.Add(time.Hour))
@@ -149,11 +149,11 @@
 				out.served += s.served
 				out.rejected += s.rejected
 				out.givenUp += s.givenUp
-				out.cameBack += s.cameBack
+				out.servedRetries += s.servedRetries
 				out.waited += s.waited
 			}
 			t.Logf("%d retries, at once if another box may be served: %t: %d requests, %d served, %d given up, %d rejected by engines; retried requests reached an engine after %s",
-				retries, soonElsewhere, out.requested, out.served, out.givenUp, out.rejected, out.waited/time.Duration(max(1, out.cameBack)))
+				retries, retryElsewhere, out.requested, out.served, out.givenUp, out.rejected, out.waited/time.Duration(max(1, out.servedRetries)))
 		}
 	}
 }
--- a/pkg/dispatch/share.go
+++ b/pkg/dispatch/share.go
@@ -10,7 +10,7 @@
 	}
 	p.shareAt = now
 	requested := make([]float64, 0, len(p.accounts))
-	most := 0.0
+	maxGranted := 0.0
 	for name, a := range p.accounts {
 		a.advance(now, p.Rules.Window)
 		a.otherGroups.advance(now, p.Rules.Window)
@@ -19,13 +19,13 @@
 			continue
 		}
 		requested = append(requested, a.totalRequested())
-		most = max(most, a.totalGranted())
+		maxGranted = max(maxGranted, a.totalGranted())
 	}
 	seconds := p.Rules.Window.Seconds() * float64(max(1, p.Groups)) / float64(max(1, p.Routers))
 	p.share = maxMinShare(requested, p.tokensPerSecond*seconds)
 	// Other customers may have nearly as much as the most served one got, even if the engines
 	// are estimated to do less: see Rules.CatchUpFraction.
-	p.measuredShare = max(maxMinShare(requested, p.capacity(now)*seconds), p.Rules.CatchUpFraction*most)
+	p.measuredShare = max(maxMinShare(requested, p.capacity(now)*seconds), p.Rules.CatchUpFraction*maxGranted)
 }
 
 // capacity returns what the engines can do in a second, in tokens as counted by Prompt.Cost, if
@@ -58,8 +58,8 @@
 	return fraction(p.shortestTarget(), p.Rules.BacklogFraction)
 }
 
-func fraction(whole time.Duration, factor float64) time.Duration {
-	return time.Duration(factor * float64(whole))
+func fraction(duration time.Duration, factor float64) time.Duration {
+	return time.Duration(factor * float64(duration))
 }
 
 // shortestTarget returns the shortest latency target of the last one or two windows.
--- a/pkg/dispatch/simulation_test.go
+++ b/pkg/dispatch/simulation_test.go
@@ -242,13 +242,13 @@
 		s := newSimulation(9, 430000, 110000)
 		length := 20 * time.Second
 		s.play(length, append(largeCustomer("flood", 30), largeCustomer("other", 1)...)...)
-		least, most := 1.0, 0.0
+		minServed, maxServed := 1.0, 0.0
 		for _, route := range []string{"draft", "query", "tag"} {
 			one := s.tallies[tallyKey{"flood", route}]
-			part := one.grantedTokens / one.requestedTokens
-			least, most = min(least, part), max(most, part)
+			served := one.grantedTokens / one.requestedTokens
+			minServed, maxServed = min(minServed, served), max(maxServed, served)
 		}
-		So(least, ShouldBeGreaterThan, 0.6*most)
+		So(minServed, ShouldBeGreaterThan, 0.6*maxServed)
 		for _, route := range []string{"draft", "query", "tag"} {
 			one := s.tallies[tallyKey{"other", route}]
 			So(one.inTime, ShouldBeGreaterThan, one.requested*9/10)
@@ -326,7 +326,7 @@
 			p := newTestPool(1, 0)
 			req := newRequest("1", "a", start, Part{ID: 1, Tokens: 10})
 			req.LatencyTarget = target
-			p.book(newRequest("before", "b", start, Part{ID: 2, Tokens: initialRate / 5}), p.engines["e0"], start)
+			p.addGrant(newRequest("before", "b", start, Part{ID: 2, Tokens: initialRate / 5}), p.engines["e0"], start)
 			return len(submit(p, req, start)) > 0
 		}
 		So(room(300*time.Millisecond), ShouldBeFalse)
--- a/pkg/dispatch/tally.go
+++ b/pkg/dispatch/tally.go
@@ -20,7 +20,7 @@
 	// Granted was assigned to an engine.
 	Granted float64
 	// Begun had its first event, and Answered ended after that without a failure.
-	Begun, Answered float64
+	Begun, Completed float64
 	// Refunded was granted and not used, or broke before it began.
 	Refunded float64
 }
--- a/pkg/dispatch/tally_test.go
+++ b/pkg/dispatch/tally_test.go
@@ -24,7 +24,7 @@
 		p.End("a", Done{}, start)
 		p.End("b", Unused{}, start)
 		So(p.TakeTallies(), ShouldResemble, []CustomerTally{{"ward", Tally{
-			Requested: 2 * cost, Granted: 2 * cost, Begun: cost, Answered: cost, Refunded: cost,
+			Requested: 2 * cost, Granted: 2 * cost, Begun: cost, Completed: cost, Refunded: cost,
 		}}})
 		So(p.TakeTallies(), ShouldBeEmpty)
 	})
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -50,7 +50,7 @@
 			if c.gateway.suspensions.isOutdated(to.suspendedTotal) || !c.gateway.admits(&to.Endpoint) {
 				return errNotAdmitted
 			}
-			if c.gateway.ledger.Check(c.fingerprint, time.Now()).Quarantined() {
+			if c.gateway.ledger.Check(c.fingerprint, time.Now()).IsQuarantined() {
 				return errQuarantined
 			}
 			c.reserved = reservation{}
@@ -198,7 +198,7 @@
 	if c.life.Attempts() >= c.route.MaxAttempts || c.remaining() < minRetryTime {
 		return false
 	}
-	if c.gateway.ledger.Check(c.fingerprint, time.Now()).Quarantined() {
+	if c.gateway.ledger.Check(c.fingerprint, time.Now()).IsQuarantined() {
 		return false
 	}
 	reserved, ok := c.gateway.budget.take(c.service.Name)
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -26,7 +26,7 @@
 func (c *call) refuseQuarantined() *request.Refusal {
 	now := time.Now()
 	status := c.gateway.ledger.Check(c.fingerprint, now)
-	if !status.Quarantined() {
+	if !status.IsQuarantined() {
 		return nil
 	}
 	message := fmt.Sprintf("%d endpoints ended while they ran this request; it is sent to none until its time is over", status.Ends)
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/service.go
@@ -107,5 +107,5 @@
 		zap.Int64("Granted", int64(one.Granted)),
 		zap.Int64("GivenBack", int64(one.Refunded)),
 		zap.Int64("Begun", int64(one.Begun)),
-		zap.Int64("Answered", int64(one.Answered)))
+		zap.Int64("Answered", int64(one.Completed)))
 }
--- a/pkg/lifecycle/facts.go
+++ b/pkg/lifecycle/facts.go
@@ -36,7 +36,7 @@
 }
 
 // Outdated reports whether the facts are of an earlier instance than others of the same ID.
-func (f *Facts) Outdated(other *Facts) bool { return other.Supersedes(f) }
+func (f *Facts) IsOutdatedBy(other *Facts) bool { return other.Supersedes(f) }
 
 // MarshalLogObject logs the facts; ColdUntil only if it is set.
 func (f *Facts) MarshalLogObject(to zapcore.ObjectEncoder) error {
--- a/pkg/lifecycle/rests.go
+++ b/pkg/lifecycle/rests.go
@@ -38,7 +38,7 @@
 	known, exists := r.byID[rest.Endpoint]
 	reported, before := Facts{Born: rest.Born}, Facts{Born: known.Born}
 	switch {
-	case exists && reported.Outdated(&before):
+	case exists && reported.IsOutdatedBy(&before):
 		return false
 	case exists && !reported.Supersedes(&before):
 		longer = rest.Until.After(known.Until)
--- a/pkg/lifecycle/state.go
+++ b/pkg/lifecycle/state.go
@@ -12,11 +12,11 @@
 }
 
 // Source is the reason for which an endpoint counts as cold.
-type Source int
+type ColdReason int
 
 const (
 	// Reported: the endpoint reports it.
-	Reported Source = iota
+	Reported ColdReason = iota
 	// Started: the endpoint was seen for the first time, or restarted.
 	Started
 	// Returned: the endpoint is back after failures or silence, and may have restarted.
@@ -43,60 +43,60 @@
 	// assumedColdUntil is until when the endpoint counts as cold without having reported it,
 	// and source the reason.
 	assumedColdUntil time.Time
-	source           Source
+	coldReason       ColdReason
 	// sent are the times of the requests sent within sentWindow, in order.
 	sent []time.Time
 }
 
 // Update applies newer facts of the same instance.
-func (l *State) Update(facts Facts, bound Bound, now time.Time) {
-	if l.Evacuated && !facts.Evacuated {
-		l.AssumeCold(Restored, now.Add(bound.Duration))
+func (s *State) Update(facts Facts, bound Bound, now time.Time) {
+	if s.Evacuated && !facts.Evacuated {
+		s.AssumeCold(Restored, now.Add(bound.Duration))
 	}
-	l.Facts = facts
+	s.Facts = facts
 }
 
 // AssumeCold makes the endpoint count as cold before it reports it: its report takes up to two
 // heartbeats, in which an idle endpoint gets the most requests.
-func (l *State) AssumeCold(source Source, until time.Time) {
-	if until.After(l.assumedColdUntil) {
-		l.assumedColdUntil, l.source = until, source
+func (s *State) AssumeCold(source ColdReason, until time.Time) {
+	if until.After(s.assumedColdUntil) {
+		s.assumedColdUntil, s.coldReason = until, source
 	}
 }
 
 // Cold reports whether the endpoint counts as cold, and why.
-func (l *State) Cold(now time.Time) (cold bool, source Source) {
-	if now.Before(l.ColdUntil) {
+func (s *State) Cold(now time.Time) (cold bool, source ColdReason) {
+	if now.Before(s.ColdUntil) {
 		return true, Reported
 	}
-	return now.Before(l.assumedColdUntil), l.source
+	return now.Before(s.assumedColdUntil), s.coldReason
 }
 
 // RecordSent counts a request sent to the endpoint.
-func (l *State) RecordSent(now time.Time) {
-	l.dropExpired(now)
-	l.sent = append(l.sent, now)
+func (s *State) RecordSent(now time.Time) {
+	s.dropExpired(now)
+	s.sent = append(s.sent, now)
 }
 
-func (l *State) dropExpired(now time.Time) {
+func (s *State) dropExpired(now time.Time) {
 	first := 0
-	for first < len(l.sent) && now.Sub(l.sent[first]) >= sentWindow {
+	for first < len(s.sent) && now.Sub(s.sent[first]) >= sentWindow {
 		first++
 	}
 	if first > 0 {
-		l.sent = append(l.sent[:0], l.sent[first:]...)
+		s.sent = append(s.sent[:0], s.sent[first:]...)
 	}
 }
 
 // CanSend reports whether one more request may be sent now. The fraction is what this box may
 // use of the bound: the fractions of all boxes add up to 1 at most.
-func (l *State) CanSend(bound Bound, fraction float64, now time.Time) bool {
-	if !l.Admits() {
+func (s *State) CanSend(bound Bound, fraction float64, now time.Time) bool {
+	if !s.Admits() {
 		return false
 	}
-	if cold, _ := l.Cold(now); !cold || bound.MaxPerSecond <= 0 {
+	if cold, _ := s.Cold(now); !cold || bound.MaxPerSecond <= 0 {
 		return true
 	}
-	l.dropExpired(now)
-	return float64(len(l.sent)+1) <= bound.MaxPerSecond*usedFraction*fraction
+	s.dropExpired(now)
+	return float64(len(s.sent)+1) <= bound.MaxPerSecond*usedFraction*fraction
 }
--- a/pkg/lifecycle/state_test.go
+++ b/pkg/lifecycle/state_test.go
@@ -14,7 +14,7 @@
 )
 
 // mostInASecond is the largest number of times within any second.
-func mostInASecond(times []time.Time) (most int) {
+func maxWithinSecond(times []time.Time) (maxCount int) {
 	for first := range times {
 		count := 0
 		for _, at := range times[first:] {
@@ -22,9 +22,9 @@
 				count++
 			}
 		}
-		most = max(most, count)
+		maxCount = max(maxCount, count)
 	}
-	return most
+	return maxCount
 }
 
 // sendAll tries to send each millisecond, and returns when it could.
@@ -42,7 +42,7 @@
 	Convey("A cold endpoint gets no more than its bound in any second, and 0.7 of it at least", t, func() {
 		l := &State{Facts: Facts{ColdUntil: start.Add(time.Minute)}}
 		sent := sendAll(l, start, 10*time.Second, 1)
-		So(mostInASecond(sent), ShouldBeLessThanOrEqualTo, 14)
+		So(maxWithinSecond(sent), ShouldBeLessThanOrEqualTo, 14)
 		So(len(sent), ShouldBeGreaterThanOrEqualTo, int(0.7*bound.MaxPerSecond*10))
 	})
 	Convey("A warm endpoint gets all requests, and these count once it is cold", t, func() {
@@ -87,7 +87,7 @@
 		early, late, unknown := Facts{Born: 5}, Facts{Born: 6}, Facts{}
 		So(late.Supersedes(&early), ShouldBeTrue)
 		So(early.Supersedes(&late), ShouldBeFalse)
-		So(early.Outdated(&late), ShouldBeTrue)
+		So(early.IsOutdatedBy(&late), ShouldBeTrue)
 		So(unknown.Supersedes(&early), ShouldBeFalse)
 		So(early.Supersedes(&unknown), ShouldBeFalse)
 	})
@@ -115,8 +115,8 @@
 				}
 			}
 		}
-		if most := mostInASecond(sent); float64(most) > bound.MaxPerSecond {
-			t.Fatalf("%d requests in one second, of %.1f", most, bound.MaxPerSecond)
+		if count := maxWithinSecond(sent); float64(count) > bound.MaxPerSecond {
+			t.Fatalf("%d requests in one second, of %.1f", count, bound.MaxPerSecond)
 		}
 	})
 }
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -357,7 +357,7 @@
 			state.Rows, mark = e.Rows.Rows(mark, l.name)
 		}
 		if e.Ends != nil {
-			state.Ends, endMark = e.Ends.Since(endMark, l.name, time.Now())
+			state.Ends, endMark = e.Ends.EndsSince(endMark, l.name, time.Now())
 		}
 		if e.Departures != nil {
 			state.Departures, departureMark = e.Departures.Departures(departureMark, l.name, time.Now())
--- a/pkg/quarantine/changes.go
+++ b/pkg/quarantine/changes.go
@@ -8,31 +8,31 @@
 
 // markChanged has a record sent to other boxes, except the one that it came from. The lock is
 // held.
-func (l *Ledger) markChanged(a *endRecord, from string) {
+func (l *Ledger) markChanged(r *endRecord, from string) {
 	l.sequence++
-	a.sequence, a.from = l.sequence, from
+	r.sequence, r.from = l.sequence, from
 }
 
-func (a *endRecord) toEnd(now time.Time) End {
-	return End{Fingerprint: a.fingerprint, Instance: a.instance, Version: a.version, Age: now.Sub(a.at)}
+func (r *endRecord) toEnd(now time.Time) End {
+	return End{Fingerprint: r.fingerprint, Instance: r.instance, Version: r.version, Age: now.Sub(r.at)}
 }
 
 // Since returns the ends that changed since a mark, without those that came from the box named
 // by to; if there are many, not all of them. The first mark of a stream is 0, the next is the
 // one returned.
-func (l *Ledger) Since(since uint64, to string, now time.Time) (ends []End, mark uint64) {
+func (l *Ledger) EndsSince(since uint64, to string, now time.Time) (ends []End, mark uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if since >= l.sequence {
 		return nil, l.sequence
 	}
-	for _, a := range l.changedSince(since) {
+	for _, r := range l.changedSince(since) {
 		if len(ends) == maxMessageEnds {
 			return ends, mark
 		}
-		mark = a.sequence
-		if a.from == "" || a.from != to {
-			ends = append(ends, a.toEnd(now))
+		mark = r.sequence
+		if r.from == "" || r.from != to {
+			ends = append(ends, r.toEnd(now))
 		}
 	}
 	return ends, l.sequence
@@ -42,9 +42,9 @@
 // lock is held.
 func (l *Ledger) changedSince(since uint64) (changed []*endRecord) {
 	for _, known := range l.suspects {
-		for _, a := range known.ends {
-			if a.sequence > since {
-				changed = append(changed, a)
+		for _, r := range known.ends {
+			if r.sequence > since {
+				changed = append(changed, r)
 			}
 		}
 	}
@@ -59,15 +59,15 @@
 	defer l.mu.Unlock()
 	all := l.changedSince(0)
 	slices.SortStableFunc(all, func(a, b *endRecord) int { return cmp.Compare(l.endsOf(b), l.endsOf(a)) })
-	for _, a := range all[:min(len(all), maxMessageEnds)] {
-		ends = append(ends, a.toEnd(now))
+	for _, r := range all[:min(len(all), maxMessageEnds)] {
+		ends = append(ends, r.toEnd(now))
 	}
 	return ends
 }
 
 // endsOf counts the ends under a record's fingerprint. The lock is held.
-func (l *Ledger) endsOf(a *endRecord) int {
-	ends, _ := l.suspects[a.fingerprint].countEnds()
+func (l *Ledger) endsOf(r *endRecord) int {
+	ends, _ := l.suspects[r.fingerprint].countEnds()
 	return ends
 }
 
@@ -80,12 +80,12 @@
 		if end.Fingerprint.IsZero() || end.Version == 0 || end.Age > maxQuarantine {
 			continue
 		}
-		a := l.recordOf(end.Fingerprint, end.Instance, now)
-		if end.Version <= a.version {
+		r := l.recordOf(end.Fingerprint, end.Instance, now)
+		if end.Version <= r.version {
 			continue
 		}
-		a.version, a.at = end.Version, now.Add(-end.Age)
-		l.markChanged(a, from)
+		r.version, r.at = end.Version, now.Add(-end.Age)
+		l.markChanged(r, from)
 		changed = true
 	}
 	return changed
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -58,8 +58,8 @@
 }
 
 // belongsTo reports whether an instance is of an endpoint of a service.
-func (l Instance) belongsTo(service string) bool {
-	return l&^(1<<(64-serviceBits)-1) == serviceOf(service)
+func (i Instance) belongsTo(service string) bool {
+	return i&^(1<<(64-serviceBits)-1) == serviceOf(service)
 }
 
 // End records that an endpoint ended while it ran a request.
@@ -106,7 +106,7 @@
 	from     string
 }
 
-func (a *endRecord) ended() bool { return a.version%2 == 1 }
+func (r *endRecord) ended() bool { return r.version%2 == 1 }
 
 // Status is what may be done with a request.
 type Status struct {
@@ -120,7 +120,7 @@
 }
 
 // Quarantined reports whether the request must not be sent to any endpoint.
-func (s Status) Quarantined() bool { return s.Allowed == 0 }
+func (s Status) IsQuarantined() bool { return s.Allowed == 0 }
 
 // Check returns what may be done with a request now.
 func (l *Ledger) Check(f Fingerprint, now time.Time) Status {
@@ -148,8 +148,8 @@
 	if known == nil {
 		return false
 	}
-	a := known.ends[instance]
-	return a != nil && a.ended()
+	r := known.ends[instance]
+	return r != nil && r.ended()
 }
 
 // quarantineTime is how long a request with so many ends is quarantined.
@@ -160,11 +160,11 @@
 
 // countEnds counts the endpoints that ended, and returns when the last one did.
 func (s *suspect) countEnds() (count int, last time.Time) {
-	for _, a := range s.ends {
-		if a.ended() {
+	for _, r := range s.ends {
+		if r.ended() {
 			count++
-			if a.at.After(last) {
-				last = a.at
+			if r.at.After(last) {
+				last = r.at
 			}
 		}
 	}
@@ -175,14 +175,14 @@
 func (l *Ledger) RecordEnd(f Fingerprint, instance Instance, now time.Time) End {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.recordOf(f, instance, now)
-	if !a.ended() {
-		a.version++
-		a.at = now
-		l.markChanged(a, "")
+	r := l.recordOf(f, instance, now)
+	if !r.ended() {
+		r.version++
+		r.at = now
+		l.markChanged(r, "")
 		l.unstored[f] = true
 	}
-	return a.toEnd(now)
+	return r.toEnd(now)
 }
 
 // recordOf returns the record of an end, and adds it if there is none. The lock is held.
@@ -197,13 +197,13 @@
 		known = &suspect{ends: map[Instance]*endRecord{}}
 		l.suspects[f] = known
 	}
-	a := known.ends[instance]
-	if a == nil {
+	r := known.ends[instance]
+	if r == nil {
 		known.evictOldest()
-		a = &endRecord{fingerprint: f, instance: instance}
-		known.ends[instance] = a
+		r = &endRecord{fingerprint: f, instance: instance}
+		known.ends[instance] = r
 	}
-	return a
+	return r
 }
 
 // evictOldest drops the oldest record if there are too many.
@@ -212,9 +212,9 @@
 		return
 	}
 	var oldest *endRecord
-	for _, a := range s.ends {
-		if oldest == nil || a.at.Before(oldest.at) {
-			oldest = a
+	for _, r := range s.ends {
+		if oldest == nil || r.at.Before(oldest.at) {
+			oldest = r
 		}
 	}
 	delete(s.ends, oldest.instance)
@@ -243,8 +243,8 @@
 	slices.SortFunc(all, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.ends, b.ends), a.last.Compare(b.last))
 	})
-	const part = 8
-	for _, oldest := range all[:len(all)/part] {
+	const evictDivisor = 8
+	for _, oldest := range all[:len(all)/evictDivisor] {
 		l.drop(oldest.fingerprint)
 	}
 }
@@ -259,11 +259,11 @@
 func (l *Ledger) expire(now time.Time) {
 	for f, known := range l.suspects {
 		ends, last := known.countEnds()
-		keep := minRetention
+		retention := minRetention
 		if ends >= MaxEnds {
-			keep = quarantineTime(ends) + maxQuarantine
+			retention = quarantineTime(ends) + maxQuarantine
 		}
-		if now.Sub(later(known.changedAt(), last)) > keep {
+		if now.Sub(later(known.changedAt(), last)) > retention {
 			l.drop(f)
 		}
 	}
@@ -271,8 +271,8 @@
 
 // changedAt is when a record last changed.
 func (s *suspect) changedAt() (at time.Time) {
-	for _, a := range s.ends {
-		at = later(at, a.at)
+	for _, r := range s.ends {
+		at = later(at, r.at)
 	}
 	return at
 }
@@ -297,21 +297,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, known := range l.suspects {
-		if a := known.ends[instance]; a != nil {
-			count += l.retract(a, now)
+		if r := known.ends[instance]; r != nil {
+			count += l.retract(r, now)
 		}
 	}
 	return count
 }
 
-func (l *Ledger) retract(a *endRecord, now time.Time) int {
-	if !a.ended() {
+func (l *Ledger) retract(r *endRecord, now time.Time) int {
+	if !r.ended() {
 		return 0
 	}
-	a.version++
-	a.at = now
-	l.markChanged(a, "")
-	l.unstored[a.fingerprint] = true
+	r.version++
+	r.at = now
+	l.markChanged(r, "")
+	l.unstored[r.fingerprint] = true
 	return 1
 }
 
@@ -327,9 +327,9 @@
 		return false
 	}
 	count := 0
-	for _, a := range known.ends {
-		if a.instance.belongsTo(service) {
-			count += l.retract(a, now)
+	for _, r := range known.ends {
+		if r.instance.belongsTo(service) {
+			count += l.retract(r, now)
 		}
 	}
 	return count > 0
--- a/pkg/quarantine/ledger_test.go
+++ b/pkg/quarantine/ledger_test.go
@@ -11,12 +11,12 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-var deadly = fingerprintOf("POST", "/brief/1", "ward", "poison")
+var crashing = fingerprintOf("POST", "/brief/1", "ward", "poison")
 
 func instance(number int) Instance { return InstanceOf("llm", fmt.Sprintf("engine-%d", number), 0) }
 
 // noteEnds records the ends of so many endpoints.
-func noteEnds(l *Ledger, f Fingerprint, count int, now time.Time) {
+func recordEnds(l *Ledger, f Fingerprint, count int, now time.Time) {
 	for i := range count {
 		l.RecordEnd(f, instance(i), now)
 	}
@@ -25,58 +25,58 @@
 func TestJudge(t *testing.T) {
 	Convey("After one or two ends fewer endpoints are allowed, after three none", t, func() {
 		l := &Ledger{}
-		So(l.Check(deadly, start), ShouldResemble, Status{Allowed: 3})
-		noteEnds(l, deadly, 2, start)
-		So(l.Check(deadly, start), ShouldResemble, Status{Ends: 2, Allowed: 1})
-		l.RecordEnd(deadly, instance(1), start.Add(time.Second))
-		So(l.Check(deadly, start).Ends, ShouldEqual, 2)
-		noteEnds(l, deadly, 3, start)
-		So(l.Check(deadly, start), ShouldResemble, Status{Ends: 3, Until: start.Add(minQuarantine)})
+		So(l.Check(crashing, start), ShouldResemble, Status{Allowed: 3})
+		recordEnds(l, crashing, 2, start)
+		So(l.Check(crashing, start), ShouldResemble, Status{Ends: 2, Allowed: 1})
+		l.RecordEnd(crashing, instance(1), start.Add(time.Second))
+		So(l.Check(crashing, start).Ends, ShouldEqual, 2)
+		recordEnds(l, crashing, 3, start)
+		So(l.Check(crashing, start), ShouldResemble, Status{Ends: 3, Until: start.Add(minQuarantine)})
 		So(l.Check(fingerprintOf("POST", "/brief/1", "ward", "other"), start).Allowed, ShouldEqual, 3)
 	})
 	Convey("After its quarantine a request may end one more endpoint, and is then quarantined six times as long", t, func() {
 		l := &Ledger{}
-		noteEnds(l, deadly, 3, start)
+		recordEnds(l, crashing, 3, start)
 		later := start.Add(minQuarantine)
-		So(l.Check(deadly, later).Allowed, ShouldEqual, 1)
-		l.RecordEnd(deadly, instance(3), later)
-		So(l.Check(deadly, later), ShouldResemble, Status{Ends: 4, Until: later.Add(quarantineGrowth * minQuarantine)})
+		So(l.Check(crashing, later).Allowed, ShouldEqual, 1)
+		l.RecordEnd(crashing, instance(3), later)
+		So(l.Check(crashing, later), ShouldResemble, Status{Ends: 4, Until: later.Add(quarantineGrowth * minQuarantine)})
 		So(quarantineTime(20), ShouldEqual, maxQuarantine)
 	})
 	Convey("A request that is answered completely is cleared, and the end of an endpoint that is alive is retracted", t, func() {
 		l := &Ledger{}
 		bystander := fingerprintOf("POST", "/brief/1", "ward", "bystander")
-		noteEnds(l, deadly, 3, start)
-		noteEnds(l, bystander, 3, start)
+		recordEnds(l, crashing, 3, start)
+		recordEnds(l, bystander, 3, start)
 		So(l.Clear(bystander, "llm", start), ShouldBeTrue)
 		So(l.Clear(bystander, "llm", start), ShouldBeFalse)
 		So(l.Check(bystander, start).Allowed, ShouldEqual, 3)
-		So(l.Clear(deadly, "api", start), ShouldBeFalse)
-		So(l.Check(deadly, start).Ends, ShouldEqual, 3)
+		So(l.Clear(crashing, "api", start), ShouldBeFalse)
+		So(l.Check(crashing, start).Ends, ShouldEqual, 3)
 		So(l.Retract(instance(1), start), ShouldEqual, 1)
-		So(l.Check(deadly, start).Ends, ShouldEqual, 2)
-		l.RecordEnd(deadly, instance(1), start)
-		So(l.Check(deadly, start).Ends, ShouldEqual, 3)
+		So(l.Check(crashing, start).Ends, ShouldEqual, 2)
+		l.RecordEnd(crashing, instance(1), start)
+		So(l.Check(crashing, start).Ends, ShouldEqual, 3)
 	})
 }
 
 func TestBoundedMemory(t *testing.T) {
 	Convey("However many bodies a caller sends, memory is bounded, and the requests with most ends are kept", t, func() {
 		l := &Ledger{}
-		noteEnds(l, deadly, 3, start)
+		recordEnds(l, crashing, 3, start)
 		for i := range 3 * maxSuspects {
 			l.RecordEnd(fingerprintOf("POST", "/brief/1", "ward", fmt.Sprint(i)), instance(i%100), start.Add(time.Duration(i)))
 		}
 		So(len(l.suspects), ShouldBeLessThanOrEqualTo, maxSuspects)
-		So(l.Check(deadly, start).Quarantined(), ShouldBeTrue)
+		So(l.Check(crashing, start).IsQuarantined(), ShouldBeTrue)
 		for i := range 100 {
-			l.RecordEnd(deadly, instance(1000+i), start.Add(time.Hour))
+			l.RecordEnd(crashing, instance(1000+i), start.Add(time.Hour))
 		}
-		So(len(l.suspects[deadly].ends), ShouldBeLessThanOrEqualTo, maxEndsPerRequest)
+		So(len(l.suspects[crashing].ends), ShouldBeLessThanOrEqualTo, maxEndsPerRequest)
 	})
 	Convey("Old suspects expire", t, func() {
 		l := &Ledger{}
-		noteEnds(l, deadly, 3, start)
+		recordEnds(l, crashing, 3, start)
 		l.RecordEnd(fingerprintOf("POST", "/brief/1", "ward", "once"), instance(1), start)
 		l.Expire(start.Add(minRetention + time.Second))
 		So(l.suspects, ShouldHaveLength, 1)
@@ -88,9 +88,9 @@
 func TestKeptInStore(t *testing.T) {
 	Convey("Requests with two ends are stored, with one are not, and cleared ones are deleted", t, func() {
 		l := &Ledger{}
-		noteEnds(l, deadly, 1, start)
+		recordEnds(l, crashing, 1, start)
 		So(l.TakeUnstored(10, start), ShouldBeEmpty)
-		noteEnds(l, deadly, 3, start)
+		recordEnds(l, crashing, 3, start)
 		rows := l.TakeUnstored(10, start)
 		So(rows, ShouldHaveLength, 1)
 		So(rows[0].Ends, ShouldHaveLength, 3)
@@ -99,10 +99,10 @@
 		So(l.TakeUnstored(10, start), ShouldBeEmpty)
 		other := &Ledger{}
 		So(other.Merge(rows[0].Ends, "", start.Add(time.Minute)), ShouldBeTrue)
-		So(other.Check(deadly, start).Until, ShouldEqual, start.Add(time.Minute+minQuarantine))
+		So(other.Check(crashing, start).Until, ShouldEqual, start.Add(time.Minute+minQuarantine))
 		So(other.TakeUnstored(10, start), ShouldBeEmpty)
-		l.Clear(deadly, "llm", start)
-		So(l.TakeUnstored(10, start), ShouldResemble, []StoredRequest{{Fingerprint: deadly}})
+		l.Clear(crashing, "llm", start)
+		So(l.TakeUnstored(10, start), ShouldResemble, []StoredRequest{{Fingerprint: crashing}})
 	})
 }
 
@@ -118,7 +118,7 @@
 		}
 		exchange := func(from, to int) {
 			var ends []End
-			ends, marks[from][to] = ledgers[from].Since(marks[from][to], fmt.Sprint(to), start)
+			ends, marks[from][to] = ledgers[from].EndsSince(marks[from][to], fmt.Sprint(to), start)
 			ledgers[to].Merge(ends, fmt.Sprint(from), start)
 		}
 		seen := map[Instance]bool{}
@@ -127,7 +127,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				ended := instance(rapid.IntRange(0, 5).Draw(t, "life"))
-				ledgers[at].RecordEnd(deadly, ended, start)
+				ledgers[at].RecordEnd(crashing, ended, start)
 				seen[ended] = true
 			case 1:
 				marks[at] = [boxes]uint64{}
@@ -143,7 +143,7 @@
 			}
 		}
 		for _, l := range ledgers {
-			if got := l.Check(deadly, start).Ends; got != len(seen) {
+			if got := l.Check(crashing, start).Ends; got != len(seen) {
 				t.Fatalf("%d ends are known of %d", got, len(seen))
 			}
 		}
@@ -157,19 +157,19 @@
 		for i := range many {
 			from.RecordEnd(fingerprintOf("POST", "/brief/1", "ward", fmt.Sprint(i)), instance(1), start)
 		}
-		noteEnds(from, deadly, 3, start)
+		recordEnds(from, crashing, 3, start)
 		So(from.MostSevere(start), ShouldHaveLength, maxMessageEnds)
-		gravest := from.MostSevere(start)
-		So(gravest[0].Fingerprint, ShouldEqual, deadly)
+		mostSevere := from.MostSevere(start)
+		So(mostSevere[0].Fingerprint, ShouldEqual, crashing)
 		mark := uint64(0)
 		for range 4 {
 			var ends []End
-			ends, mark = from.Since(mark, "to", start)
+			ends, mark = from.EndsSince(mark, "to", start)
 			So(len(ends), ShouldBeLessThanOrEqualTo, maxMessageEnds)
 			to.Merge(ends, "from", start)
 		}
 		So(to.suspects, ShouldHaveLength, many+1)
-		ends, _ := from.Since(mark, "to", start)
+		ends, _ := from.EndsSince(mark, "to", start)
 		So(ends, ShouldBeEmpty)
 	})
 }
--- a/pkg/quarantine/store.go
+++ b/pkg/quarantine/store.go
@@ -19,17 +19,17 @@
 }
 
 // Outdated reports whether none of the ends counts any more.
-func (k *StoredRequest) Outdated() bool {
-	return !slices.ContainsFunc(k.Ends, func(end End) bool { return end.Age <= maxQuarantine })
+func (r *StoredRequest) IsExpired() bool {
+	return !slices.ContainsFunc(r.Ends, func(end End) bool { return end.Age <= maxQuarantine })
 }
 
 // TakeUnstored returns the rows that this box has to change in the store. Rows that could not
 // be written are returned with PutBack.
-func (l *Ledger) TakeUnstored(most int, now time.Time) (rows []StoredRequest) {
+func (l *Ledger) TakeUnstored(limit int, now time.Time) (rows []StoredRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for f := range l.unstored {
-		if len(rows) == most {
+		if len(rows) == limit {
 			return rows
 		}
 		delete(l.unstored, f)
@@ -54,9 +54,9 @@
 		return row, changed
 	}
 	known.stored = true
-	for _, a := range known.ends {
-		if a.ended() {
-			row.Ends = append(row.Ends, a.toEnd(now))
+	for _, r := range known.ends {
+		if r.ended() {
+			row.Ends = append(row.Ends, r.toEnd(now))
 		}
 	}
 	return row, true
--- a/pkg/registry/endpoints.go
+++ b/pkg/registry/endpoints.go
@@ -156,7 +156,7 @@
 		entry.GraceEnd = r.reportedGraceEnd(entry.GraceEnd, now)
 		return r.startGrace(known, entry, from, now)
 	}
-	if exists && entry.Outdated(&known.Facts) {
+	if exists && entry.IsOutdatedBy(&known.Facts) {
 		r.Log.Info("entry of an earlier start passed over",
 			zap.String("Endpoint", entry.ID),
 			zap.Stringer("Version", entry.Version),
--- a/pkg/registry/quarantine.go
+++ b/pkg/registry/quarantine.go
@@ -113,7 +113,7 @@
 		switch {
 		case row.Problem != nil:
 			r.Log.Error("row of a quarantined request not taken", zap.String("Key", row.Key), zap.Error(row.Problem))
-		case row.Outdated():
+		case row.IsExpired():
 			outdated = append(outdated, quarantine.StoredRequest{Fingerprint: row.Fingerprint})
 		default:
 			r.Quarantine.Merge(row.Ends, fromStore, now)
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -69,15 +69,15 @@
 	all := Tally{}
 	for _, tally := range counts.Routes {
 		all.Add(tally)
-		if answered := tally.TargetGood + tally.TargetBad; answered >= minRatioResponses && float64(tally.TargetBad) > maxBadRatio*float64(answered) {
+		if responses := tally.TargetGood + tally.TargetBad; responses >= minRatioResponses && float64(tally.TargetBad) > maxBadRatio*float64(responses) {
 			f.Adopt(Halted, now)
 		}
 	}
-	quiet := map[string]Tally{}
+	allGood := map[string]Tally{}
 	for route, tally := range counts.Routes {
-		quiet[route] = Tally{TargetGood: tally.TargetGood + tally.TargetBad, OldGood: tally.OldGood + tally.OldBad}
+		allGood[route] = Tally{TargetGood: tally.TargetGood + tally.TargetBad, OldGood: tally.OldGood + tally.OldBad}
 	}
-	return f.Evaluator.Evaluate(Counts{Routes: quiet, OldRunning: counts.OldRunning}, now)
+	return f.Evaluator.Evaluate(Counts{Routes: allGood, OldRunning: counts.OldRunning}, now)
 }
 
 // simulationResult is the outcome of one simulated roll-out.
--- a/pkg/route/directory.go
+++ b/pkg/route/directory.go
@@ -39,7 +39,7 @@
 // IsNewerInstanceThan reports whether this entry is of a later instance of the endpoint than
 // another entry. If the start times do not tell which is later, a different address decides.
 func (e *Endpoint) IsNewerInstanceThan(other *Endpoint) bool {
-	return e.Supersedes(&other.Facts) || (!e.Outdated(&other.Facts) && e.Address != other.Address)
+	return e.Supersedes(&other.Facts) || (!e.IsOutdatedBy(&other.Facts) && e.Address != other.Address)
 }
 
 // Change is the change of one endpoint from Before to After; either is nil if the endpoint is
