--- a/pkg/gateway/admission.go
+++ b/pkg/gateway/admission.go
@@ -12,7 +12,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	return s.floods.Enter(customer, s.gateway.load.isBusy(now), now)
+	return s.backlog.Enter(customer, s.gateway.load.isBusy(now), now)
 }
 
 // refuseEarly refuses a request that would not be sent to a dispatcher; ok is false if it may
@@ -22,7 +22,7 @@
 func (s *scheduler) refuseEarly(req *dispatch.Request) (v verdict, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
-	admission := s.floods.Check(req.Customer, s.gateway.load.isBusy(now), now)
+	admission := s.backlog.Check(req.Customer, s.gateway.load.isBusy(now), now)
 	s.mu.Unlock()
 	if admission == dispatch.Admitted {
 		return v, false
@@ -34,7 +34,7 @@
 func (s *scheduler) leaveQueue(customer string, v verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floods.Leave(customer, v.endpoint == "" && v.overShare, time.Now())
+	s.backlog.Leave(customer, v.endpoint == "" && v.overShare, time.Now())
 }
 
 // otherBoxRetryDelay is the least Retry-After of a request that an overloaded or stopping box
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -36,13 +36,13 @@
 // attempt sends the request to an endpoint and waits for the head of the answer. Its errors go
 // to handleFailure, which decides how to continue.
 func (c *call) attempt(to destination, lastEvent string) (*endpoint.Response, error) {
-	if c.life.State() < request.Queued {
+	if c.lifecycle.State() < request.Queued {
 		// A received request can always be queued.
-		_ = c.life.Advance(request.Queued)
+		_ = c.lifecycle.Advance(request.Queued)
 	}
 	out := c.buildRequest(to.Endpoint, lastEvent)
-	ctx := c.guardContext(to)
-	reply, err := c.gateway.client(to.Address).Do(ctx, &endpoint.Call{
+	ctx := c.startGuard(to)
+	response, err := c.gateway.client(to.Address).Do(ctx, &endpoint.Call{
 		Request:       out,
 		NonRepeatable: !c.route.Repeatable,
 		Sending: func() error {
@@ -54,7 +54,7 @@
 				return errQuarantined
 			}
 			c.reserved = reservation{}
-			return c.life.Advance(request.Sending)
+			return c.lifecycle.Advance(request.Sending)
 		},
 		Matches: func(head *fasthttp.ResponseHeader) bool {
 			id := c.gateway.Translator.ParseResponse(head).ID
@@ -65,27 +65,27 @@
 	if err != nil {
 		return nil, err
 	}
-	answered := c.gateway.Translator.ParseResponse(&reply.Head)
-	c.handleSelfReport(to, answered)
-	if answered.NotRun {
-		c.life.ProveNotRun()
-		status := reply.Head.StatusCode()
-		c.drop(reply)
+	info := c.gateway.Translator.ParseResponse(&response.Head)
+	c.handleSelfReport(to, info)
+	if info.NotRun {
+		c.lifecycle.ProveNotRun()
+		status := response.Head.StatusCode()
+		c.discard(response)
 		return nil, &declinedError{status: status}
 	}
-	if !answered.Genuine && reply.Head.StatusCode() < fasthttp.StatusMultipleChoices {
-		reply.Close()
+	if !info.Genuine && response.Head.StatusCode() < fasthttp.StatusMultipleChoices {
+		response.Close()
 		return nil, &unusableError{reason: "the answer lacks the endpoint's signature"}
 	}
-	return reply, nil
+	return response, nil
 }
 
 // drop reads the rest of a short answer, so that its connection can be reused.
-func (c *call) drop(reply *endpoint.Response) {
-	if _, err := reply.ReadAll(maxHeadBytes); err != nil {
+func (c *call) discard(response *endpoint.Response) {
+	if _, err := response.ReadAll(maxHeadBytes); err != nil {
 		c.log().Debug("answer of an endpoint that declined was truncated", zap.String("Request", c.ID), zap.Error(err))
 	}
-	reply.Close()
+	response.Close()
 }
 
 // buildRequest builds the request for an endpoint: the caller's request without the headers
@@ -126,10 +126,10 @@
 // handleFailure records the outcome of a failed attempt and decides what follows: nil for
 // another attempt, or the final answer.
 func (c *call) handleFailure(to destination, err error) *request.Refusal {
-	how, retry := c.classifyFailure(to, err)
-	to.finish(how)
-	if how.isFailure() {
-		c.gateway.rollouts.recordAnswer(&to.Endpoint, c.route.Name, true, 0)
+	result, retry := c.classifyFailure(to, err)
+	to.finish(result)
+	if result.isFailure() {
+		c.gateway.rollouts.recordResponse(&to.Endpoint, c.route.Name, true, 0)
 	}
 	c.excluded = append(c.excluded, to.ID)
 	if errors.Is(err, errNotAdmitted) {
@@ -140,8 +140,8 @@
 		zap.Stringer("Fingerprint", c.fingerprint),
 		zap.String("Endpoint", to.ID),
 		zap.String("Address", to.Address),
-		zap.Int("Attempts", c.life.Attempts()),
-		zap.String("Run", string(c.life.RunStatus())),
+		zap.Int("Attempts", c.lifecycle.Attempts()),
+		zap.String("Run", string(c.lifecycle.RunStatus())),
 		zap.Duration("Age", time.Since(c.arrived)),
 		zap.Bool("Again", retry),
 		zap.Error(err))
@@ -151,16 +151,16 @@
 	if retry {
 		return nil
 	}
-	if refusal := c.refuseQuarantined(); refusal != nil && c.life.RunStatus() == request.NotRun {
+	if refusal := c.refuseQuarantined(); refusal != nil && c.lifecycle.RunStatus() == request.NotRun {
 		return refusal
 	}
-	if c.life.RunStatus() == request.NotRun {
+	if c.lifecycle.RunStatus() == request.NotRun {
 		return notRun(request.NoEndpoint, "no endpoint took the request", failureRetryDelay())
 	}
 	return &request.Refusal{
 		Code:    request.EndpointFailed,
 		Message: "the endpoint gave no whole answer",
-		Run:     c.life.RunStatus(),
+		Run:     c.lifecycle.RunStatus(),
 	}
 }
 
@@ -170,7 +170,7 @@
 
 // classifyFailure returns what a failure says about the endpoint, and whether the request may
 // be sent to another one.
-func (c *call) classifyFailure(to destination, err error) (how outcome, retry bool) {
+func (c *call) classifyFailure(to destination, err error) (result outcome, retry bool) {
 	var unreached *endpoint.DialError
 	var declined *declinedError
 	switch {
@@ -185,17 +185,17 @@
 		c.unreachable++
 		return outcomeUnreachable, c.unreachable < maxUnreachable
 	case errors.As(err, &declined):
-		return outcomeFull, c.reserveRetry()
+		return outcomeDeclined, c.reserveRetry()
 	default:
 		// This is recorded first: it decides whether the request may be sent again.
-		how = c.classifyBroken(to, err)
-		return how, c.route.Repeatable && c.reserveRetry()
+		result = c.recordBroken(to, err)
+		return result, c.route.Repeatable && c.reserveRetry()
 	}
 }
 
 // reserveRetry reserves another attempt, if the route and the retry budget allow it.
 func (c *call) reserveRetry() bool {
-	if c.life.Attempts() >= c.route.MaxAttempts || c.remaining() < minRetryTime {
+	if c.lifecycle.Attempts() >= c.route.MaxAttempts || c.remaining() < minRetryTime {
 		return false
 	}
 	if c.gateway.ledger.Check(c.fingerprint, time.Now()).IsQuarantined() {
@@ -207,9 +207,9 @@
 		return false
 	}
 	c.reserved = reserved
-	if c.life.State() >= request.Sending {
+	if c.lifecycle.State() >= request.Sending {
 		// Only requests that may be repeated, or that provably did not run, get here.
-		_ = c.life.Requeue(c.route.Repeatable)
+		_ = c.lifecycle.Requeue(c.route.Repeatable)
 	}
 	return true
 }
@@ -237,10 +237,10 @@
 	cause := context.Cause(c.ctx)
 	switch {
 	case errors.Is(cause, errCallerGone):
-		return &request.Refusal{Code: request.CallerGone, Message: cause.Error(), Run: c.life.RunStatus()}
-	case c.life.RunStatus() == request.NotRun:
+		return &request.Refusal{Code: request.CallerGone, Message: cause.Error(), Run: c.lifecycle.RunStatus()}
+	case c.lifecycle.RunStatus() == request.NotRun:
 		return notRun(request.NotInTime, cause.Error(), failureRetryDelay())
 	default:
-		return &request.Refusal{Code: request.DeadlinePassed, Message: cause.Error(), Run: c.life.RunStatus()}
+		return &request.Refusal{Code: request.DeadlinePassed, Message: cause.Error(), Run: c.lifecycle.RunStatus()}
 	}
 }
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -44,10 +44,10 @@
 	// fingerprint identifies repeats of the request, and end records the last endpoint that
 	// ended while it ran the request.
 	fingerprint quarantine.Fingerprint
-	end         quarantine.End
+	lastEnd     quarantine.End
 	// zones are the availability zones in which the request may be served; empty means any.
-	zones []string
-	life  request.Lifecycle
+	zones     []string
+	lifecycle request.Lifecycle
 
 	// ctx ends with the deadline, or when the caller disconnects.
 	ctx    context.Context
@@ -85,13 +85,13 @@
 // withEarlierAttempts replaces a refusal that promises that nothing was run, if an earlier
 // attempt may have run.
 func (c *call) withEarlierAttempts(refusal *request.Refusal) *request.Refusal {
-	if refusal.Run != request.NotRun || c.life.RunStatus() == request.NotRun {
+	if refusal.Run != request.NotRun || c.lifecycle.RunStatus() == request.NotRun {
 		return refusal
 	}
 	return &request.Refusal{
 		Code:    request.EndpointFailed,
 		Message: "an earlier attempt may have run; " + refusal.Message,
-		Run:     c.life.RunStatus(),
+		Run:     c.lifecycle.RunStatus(),
 	}
 }
 
@@ -117,8 +117,8 @@
 	if catalog == nil || c.gateway.registry.Directory() == nil {
 		return notRun(request.NotReady, "this box has no configuration yet", time.Second)
 	}
-	described, err := c.gateway.Translator.ParseRequest(&c.http.Request.Header)
-	c.RequestInfo = described
+	info, err := c.gateway.Translator.ParseRequest(&c.http.Request.Header)
+	c.RequestInfo = info
 	if err != nil {
 		return notRun(request.InvalidRequest, err.Error(), 0)
 	}
@@ -132,7 +132,7 @@
 		return notRun(request.NotReady, "this box is stopping", otherBoxRetryDelay)
 	}
 	c.gateway.budget.earn(c.service.Name)
-	if refusal := c.refuseLocally(); refusal != nil {
+	if refusal := c.refuseEarly(); refusal != nil {
 		return refusal
 	}
 	header := &c.http.Request.Header
@@ -162,10 +162,10 @@
 	if c.route == nil {
 		return notRun(request.NoSuchPath, "there is no such route", 0)
 	}
-	homes := [][]string{c.route.AllowedRegions}
+	regionLists := [][]string{c.route.AllowedRegions}
 	if customer := catalog.CustomerOf(c.Key); customer != nil {
 		c.customer = customer.Name
-		homes = append(homes, customer.AllowedRegions)
+		regionLists = append(regionLists, customer.AllowedRegions)
 	} else if !c.route.Anonymous && len(catalog.Customers) > 0 {
 		return notRun(request.InvalidKey, "the key is not known", 0)
 	}
@@ -175,8 +175,8 @@
 		service = route.Service{Name: name}
 	}
 	c.service = service
-	var served bool
-	if c.zones, served = c.gateway.Settings.allowedZones(homes...); !served {
+	var allowed bool
+	if c.zones, allowed = c.gateway.Settings.allowedZones(regionLists...); !allowed {
 		return notRun(request.NoEndpoint, "no availability zone lies in a region in which the request may be served", noRegionRetryDelay)
 	}
 	return nil
@@ -250,7 +250,7 @@
 		zap.String("Code", string(refusal.Code)),
 		zap.Int("Status", refusal.Status()),
 		zap.String("Run", string(refusal.Run)),
-		zap.Int("Attempts", c.life.Attempts()),
+		zap.Int("Attempts", c.lifecycle.Attempts()),
 		zap.Duration("Age", time.Since(c.arrived)),
 		zap.Duration("RetryAfter", refusal.RetryAfter),
 		zap.String("Reason", refusal.Message))
@@ -272,12 +272,12 @@
 }
 
 // forwardHead starts the caller's answer with the endpoint's status and headers.
-func (c *call) forwardHead(reply *endpoint.Response) {
-	response := &c.http.Response
-	reply.Head.CopyTo(&response.Header)
-	response.Header.DisableNormalizing()
-	response.Header.SetNoDefaultContentType(true)
-	c.gateway.Translator.StripConnectionHeaders(&response.Header)
+func (c *call) forwardHead(response *endpoint.Response) {
+	out := &c.http.Response
+	response.Head.CopyTo(&out.Header)
+	out.Header.DisableNormalizing()
+	out.Header.SetNoDefaultContentType(true)
+	c.gateway.Translator.StripConnectionHeaders(&out.Header)
 }
 
 // logEndpointError logs a final answer that is an endpoint's own error.
@@ -291,20 +291,20 @@
 		zap.String("Route", c.route.Name),
 		zap.String("Endpoint", to.ID),
 		zap.Int("Status", status),
-		zap.Int("Attempts", c.life.Attempts()),
+		zap.Int("Attempts", c.lifecycle.Attempts()),
 		zap.Duration("Age", time.Since(c.arrived)))
 }
 
 // forwardWhole forwards an answer that is read whole before any of it is sent, so that a
 // truncated one can still be reported as failed.
-func (c *call) forwardWhole(reply *endpoint.Response) error {
-	body, err := reply.ReadAll(maxAnswerBytes)
+func (c *call) forwardBuffered(response *endpoint.Response) error {
+	body, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
-		reply.Close()
+		response.Close()
 		return &endpoint.NoResponseError{Address: c.route.Name, Err: err}
 	}
-	reply.Close()
-	c.forwardHead(reply)
+	response.Close()
+	c.forwardHead(response)
 	c.http.Response.SetBodyRaw(body)
 	return nil
 }
--- a/pkg/gateway/cold.go
+++ b/pkg/gateway/cold.go
@@ -36,7 +36,7 @@
 )
 
 // coldFraction is a computed fraction of the bounds of cold engines.
-type coldFraction struct {
+type cachedColdFraction struct {
 	fraction float64
 	until    time.Time
 }
@@ -47,8 +47,8 @@
 // dispatcher used the whole bound, two at the same time sent a cold engine twice its bound.
 // The lock is held.
 func (s *scheduler) coldFraction(now time.Time) float64 {
-	if now.Before(s.cold.until) {
-		return s.cold.fraction
+	if now.Before(s.cachedCold.until) {
+		return s.cachedCold.fraction
 	}
 	if !s.pool.HasColdLimit() {
 		return 1
@@ -59,12 +59,12 @@
 			askers[r.box] = true
 		}
 	}
-	if s.remote == nil && now.Sub(s.aloneSince) >= minAskerAge {
+	if s.remote == nil && now.Sub(s.localSince) >= minAskerAge {
 		askers[s.gateway.Settings.Name] = true
 	}
 	fleetSize := s.gateway.fleet.CountRecent(now, lostMemberTTL) + 1
-	s.cold = coldFraction{fraction: min(1, float64(len(askers))/float64(fleetSize)), until: now.Add(coldFractionTTL)}
-	return s.cold.fraction
+	s.cachedCold = cachedColdFraction{fraction: min(1, float64(len(askers))/float64(fleetSize)), until: now.Add(coldFractionTTL)}
+	return s.cachedCold.fraction
 }
 
 // coldSenders records for which plain endpoints this box is one of the senders while they are
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/customer_reports.go
@@ -24,13 +24,13 @@
 }
 
 // customerService is what a box recorded of one customer in a second.
-type customerService struct {
+type customerReport struct {
 	dispatch.CustomerTally
 	localRefusals
 }
 
 // recordLocalRefusal records a refusal by this box itself. The caller holds the lock.
-func (s *scheduler) recordLocalRefusal(customer string, tokens float64, why dispatch.Admission) {
+func (s *scheduler) recordLocalRefusal(customer string, tokens float64, admission dispatch.Admission) {
 	if s.localRefusals == nil {
 		s.localRefusals = map[string]*localRefusals{}
 	}
@@ -39,7 +39,7 @@
 		one = &localRefusals{}
 		s.localRefusals[customer] = one
 	}
-	if why == dispatch.RefusedOverShare {
+	if admission == dispatch.RefusedOverShare {
 		one.overShare += tokens
 	} else {
 		one.overloaded += tokens
@@ -49,44 +49,44 @@
 // takeServices returns what was recorded since the last call of the customers with the largest
 // demand, so that those that were refused something can be compared with the others. It returns
 // none if nothing was refused.
-func (s *scheduler) takeServices() []customerService {
+func (s *scheduler) takeCustomerReports() []customerReport {
 	s.mu.Lock()
-	tallies, here := s.pool.TakeTallies(), s.localRefusals
+	tallies, refusals := s.pool.TakeTallies(), s.localRefusals
 	s.localRefusals = nil
 	s.mu.Unlock()
-	refused := len(here) > 0
-	var services []customerService
+	refused := len(refusals) > 0
+	var reports []customerReport
 	for _, t := range tallies {
-		one := customerService{CustomerTally: t}
-		if own := here[t.Customer]; own != nil {
+		one := customerReport{CustomerTally: t}
+		if own := refusals[t.Customer]; own != nil {
 			one.localRefusals = *own
-			delete(here, t.Customer)
+			delete(refusals, t.Customer)
 		}
 		refused = refused || t.Refused() > 0
-		services = append(services, one)
+		reports = append(reports, one)
 	}
 	if !refused {
 		return nil
 	}
-	for customer, own := range here {
-		services = append(services, customerService{dispatch.CustomerTally{Customer: customer}, *own})
+	for customer, own := range refusals {
+		reports = append(reports, customerReport{dispatch.CustomerTally{Customer: customer}, *own})
 	}
-	slices.SortFunc(services, func(a, b customerService) int {
-		return cmp.Or(cmp.Compare(b.weight(), a.weight()), cmp.Compare(a.Customer, b.Customer))
+	slices.SortFunc(reports, func(a, b customerReport) int {
+		return cmp.Or(cmp.Compare(b.demand(), a.demand()), cmp.Compare(a.Customer, b.Customer))
 	})
-	return services[:min(maxReportedCustomers, len(services))]
+	return reports[:min(maxReportedCustomers, len(reports))]
 }
 
 // weight returns the demand of a customer, by which the customers are sorted.
-func (c *customerService) weight() float64 { return c.Requested + c.overShare + c.overloaded }
+func (c *customerReport) demand() float64 { return c.Requested + c.overShare + c.overloaded }
 
 // reportServices logs, for each second in which something is refused, what the customers with
 // the largest demand requested and got.
-func (g *Gateway) reportServices(ctx context.Context) error {
+func (g *Gateway) reportCustomers(ctx context.Context) error {
 	interval.Every(ctx, time.Second, func() {
 		for _, s := range g.schedulers() {
-			for _, one := range s.takeServices() {
-				s.logService(&one)
+			for _, one := range s.takeCustomerReports() {
+				s.logCustomer(&one)
 			}
 		}
 	})
@@ -94,7 +94,7 @@
 }
 
 // logService writes the line that `quayctl shares` reads.
-func (s *scheduler) logService(one *customerService) {
+func (s *scheduler) logCustomer(one *customerReport) {
 	s.log.Info("customer's service",
 		zap.String("Service", s.groupName),
 		zap.String("Customer", one.Customer),
--- a/pkg/gateway/service_test.go
+++ b/pkg/gateway/customer_reports_test.go
@@ -29,24 +29,24 @@
 		return s
 	}
 	Convey("Nothing is reported for a second in which nothing is refused", t, func() {
-		So(scheduled(3).takeServices(), ShouldBeEmpty)
+		So(scheduled(3).takeCustomerReports(), ShouldBeEmpty)
 	})
 	Convey("A refusal by this box itself is reported, together with the demand of other customers", t, func() {
 		s := scheduled(1)
 		s.recordLocalRefusal("flood", 500, dispatch.RefusedOverShare)
 		s.recordLocalRefusal("flood", 30, dispatch.RefusedBusy)
-		services := s.takeServices()
-		So(services, ShouldHaveLength, 2)
-		So(services[0].Customer, ShouldEqual, "flood")
-		So(services[0].localRefusals, ShouldResemble, localRefusals{overShare: 500, overloaded: 30})
-		So(services[1].Customer, ShouldEqual, "c0")
-		So(s.takeServices(), ShouldBeEmpty)
+		reports := s.takeCustomerReports()
+		So(reports, ShouldHaveLength, 2)
+		So(reports[0].Customer, ShouldEqual, "flood")
+		So(reports[0].localRefusals, ShouldResemble, localRefusals{overShare: 500, overloaded: 30})
+		So(reports[1].Customer, ShouldEqual, "c0")
+		So(s.takeCustomerReports(), ShouldBeEmpty)
 	})
 	Convey("With many customers, only those with the largest demand are reported", t, func() {
 		s := scheduled(5 * maxReportedCustomers)
 		s.recordLocalRefusal("c0", 1, dispatch.RefusedOverShare)
-		services := s.takeServices()
-		So(services, ShouldHaveLength, maxReportedCustomers)
-		So(services[0].Customer, ShouldEqual, fmt.Sprint("c", 5*maxReportedCustomers-1))
+		reports := s.takeCustomerReports()
+		So(reports, ShouldHaveLength, maxReportedCustomers)
+		So(reports[0].Customer, ShouldEqual, fmt.Sprint("c", 5*maxReportedCustomers-1))
 	})
 }
--- a/pkg/gateway/endpoints.go
+++ b/pkg/gateway/endpoints.go
@@ -12,7 +12,7 @@
 // applyChanges applies a new catalog or directory to the pools.
 func (g *Gateway) applyChanges() {
 	g.announceState()
-	g.rollouts.follow(g.registry.Orders())
+	g.rollouts.setOrders(g.registry.Orders())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	catalog := g.registry.Catalog()
@@ -50,17 +50,17 @@
 func (g *Gateway) updatePlain(service route.Service, directory *route.Directory, changes []route.Change, configChanged bool) {
 	bound := service.ColdStart.Bound(g.Settings.ColdFactor, g.Settings.ColdExtra)
 	now := time.Now()
-	first := g.health.isEmpty()
+	initial := g.health.isEmpty()
 	if configChanged {
 		directory.Each(service.Name, func(e *route.Endpoint) bool {
-			g.health.update(e, bound, first, now)
+			g.health.update(e, bound, initial, now)
 			return true
 		})
 	}
 	for i := range changes {
 		switch before, after := changes[i].Before, changes[i].After; {
 		case after != nil && after.Service == service.Name && !after.Leaving:
-			g.health.update(after, bound, first, now)
+			g.health.update(after, bound, initial, now)
 		case after == nil && before.Service == service.Name:
 			g.health.remove(before.ID)
 		}
--- a/pkg/gateway/fetcher.go
+++ b/pkg/gateway/fetcher.go
@@ -48,9 +48,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	version = known
-	for box, has := range f.sources {
-		if has > version {
-			from, version = box, has
+	for box, announced := range f.sources {
+		if announced > version {
+			from, version = box, announced
 		}
 	}
 	delete(f.sources, from)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -44,7 +44,7 @@
 	exchange    *peer.Exchange
 	fleet       *membership.View
 	// catalogs, directories and orders fetch newer versions from other boxes.
-	catalogs, directories, orders fetcher
+	catalogFetcher, directoryFetcher, ordersFetcher fetcher
 	// contactsWake triggers a new choice of the contacts. It has a capacity of 1.
 	contactsWake chan struct{}
 	budget       *retryBudget
@@ -111,7 +111,7 @@
 	group.Go(func() error { return readyServer.Serve(ready) })
 	group.Go(func() error { return callerServer.Serve(callers) })
 	group.Go(func() error { return g.reportCounts(background) })
-	group.Go(func() error { return g.reportServices(background) })
+	group.Go(func() error { return g.reportCustomers(background) })
 	group.Go(func() error { return g.sweepIdle(background) })
 	group.Go(func() error { return g.dropIdle(background) })
 	group.Go(func() error {
@@ -216,9 +216,9 @@
 		Departures: g.registry,
 	}
 	g.fleet.Self = g.exchange.Self()
-	g.catalogs = fetcher{localVersion: g.catalogVersion, fetch: g.fetchCatalog}
-	g.directories = fetcher{localVersion: g.knownVersion, fetch: g.fetchDirectory}
-	g.orders = fetcher{localVersion: g.ordersVersion, fetch: g.fetchOrders}
+	g.catalogFetcher = fetcher{localVersion: g.catalogVersion, fetch: g.fetchCatalog}
+	g.directoryFetcher = fetcher{localVersion: g.knownVersion, fetch: g.fetchDirectory}
+	g.ordersFetcher = fetcher{localVersion: g.ordersVersion, fetch: g.fetchOrders}
 	g.budget = &retryBudget{settings: g.Settings, peers: g.fleet.CountLive, randomDraw: rand.Float64()}
 }
 
@@ -332,9 +332,9 @@
 	g.log.Info("planned stop began", zap.Int64("InFlight", g.inFlight.Load()))
 	_ = interval.Wait(context.Background(), min(balancerDelay, g.Settings.StopTimeout/2))
 	g.refusingStreams.Store(true)
-	g.awaitQuiet(began.Add(g.Settings.StopTimeout / 2))
+	g.awaitNoArrivals(began.Add(g.Settings.StopTimeout / 2))
 	g.refusing.Store(true)
-	g.awaitQuiet(began.Add(g.Settings.StopTimeout - 2*stopReserve))
+	g.awaitNoArrivals(began.Add(g.Settings.StopTimeout - 2*stopReserve))
 	remaining := g.Settings.StopTimeout - stopReserve - time.Since(began)
 	ctx, cancel := context.WithTimeout(context.Background(), remaining)
 	defer cancel()
@@ -351,17 +351,17 @@
 const (
 	// quietTime is how long no request must have arrived before a stopping box assumes that
 	// the balancer sends no more: the interval of the balancer's checks.
-	quietTime = time.Second
+	noArrivalsTime = time.Second
 	// quietCheckInterval is the time between two checks of whether requests arrive.
-	quietCheckInterval = 100 * time.Millisecond
+	arrivalCheckInterval = 100 * time.Millisecond
 )
 
 // awaitQuiet waits until no request has arrived for quietTime, or until the given time.
-func (g *Gateway) awaitQuiet(until time.Time) {
+func (g *Gateway) awaitNoArrivals(until time.Time) {
 	for time.Now().Before(until) {
-		if time.Since(g.startedAt)-time.Duration(g.lastArrival.Load()) > quietTime {
+		if time.Since(g.startedAt)-time.Duration(g.lastArrival.Load()) > noArrivalsTime {
 			return
 		}
-		_ = interval.Wait(context.Background(), quietCheckInterval)
+		_ = interval.Wait(context.Background(), arrivalCheckInterval)
 	}
 }
--- a/pkg/gateway/granted.go
+++ b/pkg/gateway/granted.go
@@ -9,7 +9,7 @@
 
 // grantedRequest is a request of this box that was granted an endpoint.
 type grantedRequest struct {
-	ask      *dispatch.Request
+	req      *dispatch.Request
 	endpoint string
 	begun    bool
 }
@@ -22,14 +22,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running[req.ID] = &grantedRequest{ask: req, endpoint: v.endpoint}
+	s.running[req.ID] = &grantedRequest{req: req, endpoint: v.endpoint}
 	s.granted.Grant(req, time.Now())
-	s.poolHistories.grant(req, time.Now())
+	s.poolHistories.recordGrant(req, time.Now())
 	if from != nil {
 		s.pool.Adopt(req, v.endpoint, false, time.Now())
 	}
 	if from != s.remote && s.remote != nil {
-		s.remote.stream.Send(encodeAsk(req, v.endpoint, false))
+		s.remote.stream.Send(encodeRequest(req, v.endpoint, false))
 	}
 	return v
 }
@@ -54,7 +54,7 @@
 }
 
 // end records the outcome of a granted request.
-func (s *scheduler) end(id string, how dispatch.Outcome) {
+func (s *scheduler) end(id string, result dispatch.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.running[id]
@@ -64,14 +64,14 @@
 	delete(s.running, id)
 	if !r.begun {
 		// The dispatcher refunds the same.
-		if _, done := how.(dispatch.Done); !done {
-			s.granted.Refund(r.ask, time.Now())
-			s.poolHistories.refund(r.ask, time.Now())
+		if _, done := result.(dispatch.Done); !done {
+			s.granted.Refund(r.req, time.Now())
+			s.poolHistories.recordRefund(r.req, time.Now())
 		}
 	}
-	s.pool.End(id, how, time.Now())
+	s.pool.End(id, result, time.Now())
 	if s.remote != nil {
-		s.remote.stream.Send(encodeOutcome(id, how))
+		s.remote.stream.Send(encodeOutcome(id, result))
 	}
 	s.decide()
 }
@@ -85,7 +85,7 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.pool.SetRest(ownStream, rest, now)
-	if s.remote != nil && s.has(rest.Endpoint) {
+	if s.remote != nil && s.hasEngine(rest.Endpoint) {
 		s.remote.stream.Send(encodeRest(rest, now))
 	}
 }
--- a/pkg/gateway/guard.go
+++ b/pkg/gateway/guard.go
@@ -35,17 +35,17 @@
 	firstEventMargin = 1500 * time.Millisecond
 	// pauseStallFactor times the longest pause that the route aims for is the timeout between
 	// two events, and minPauseStallTimeout its minimum.
-	pauseStallFactor     = 3
-	minPauseStallTimeout = time.Second
+	gapStallFactor     = 3
+	minGapStallTimeout = time.Second
 )
 
 // guardContext returns the context of an attempt. A stalled attempt is given up only if
 // another one may follow: otherwise a late answer is better than none.
-func (c *call) guardContext(to destination) context.Context {
+func (c *call) startGuard(to destination) context.Context {
 	c.guard.stop()
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	c.guard = &guard{attempts: &c.gateway.attempts, endpoint: to.Endpoint, fingerprint: c.fingerprint, cancel: cancel}
-	last := c.life.Attempts()+1 >= c.route.MaxAttempts
+	last := c.lifecycle.Attempts()+1 >= c.route.MaxAttempts
 	if c.route.Repeatable && !last {
 		c.guard.timer = time.AfterFunc(c.firstStallTimeout(to), func() {
 			if c.gateway.budget.canTake(c.service.Name) {
@@ -64,12 +64,12 @@
 	return max(plainStallFactor*c.route.LatencyTarget, minPlainStallTimeout)
 }
 
-func (c *call) pauseStallTimeout() time.Duration {
-	return max(pauseStallFactor*c.route.GapTarget, minPauseStallTimeout)
+func (c *call) gapStallTimeout() time.Duration {
+	return max(gapStallFactor*c.route.GapTarget, minGapStallTimeout)
 }
 
 // extend restarts the timeout, as the endpoint has sent something.
-func (g *guard) extend(length time.Duration) {
+func (g *guard) reset(length time.Duration) {
 	if g != nil && g.timer != nil {
 		g.timer.Reset(length)
 	}
--- a/pkg/gateway/health.go
+++ b/pkg/gateway/health.go
@@ -76,14 +76,14 @@
 // update applies the latest entry of an endpoint. An endpoint that restarted starts with a new
 // state. first is set if no endpoint was known before: those known first are taken as warm, as
 // they have already served other boxes.
-func (h *health) update(endpoint *route.Endpoint, bound lifecycle.Bound, first bool, now time.Time) {
+func (h *health) update(endpoint *route.Endpoint, bound lifecycle.Bound, initial bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	state := h.states[endpoint.ID]
 	if state == nil || endpoint.Supersedes(&state.instance.Facts) {
 		delete(h.states, endpoint.ID)
 		state = h.stateOf(endpoint.ID)
-		if !first {
+		if !initial {
 			state.instance.AssumeCold(lifecycle.Started, now.Add(bound.Duration))
 		}
 	}
@@ -147,11 +147,11 @@
 
 // finish records the outcome of a request. Unknown and unused outcomes say nothing about the
 // endpoint; for instance, the caller may have left.
-func (h *health) finish(id string, s *endpointHealth, how outcome, took time.Duration) {
+func (h *health) finish(id string, s *endpointHealth, result outcome, took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s.inFlight--
-	switch how {
+	switch result {
 	case outcomeUnknown, outcomeUnused:
 		return
 	case outcomeGood:
@@ -161,12 +161,12 @@
 			s.ejection = 0
 		}
 		return
-	case outcomeFull:
+	case outcomeDeclined:
 		s.ejectedUntil = time.Now().Add(minEjection / 8)
 		return
 	}
 	s.failureRate += outcomeWeight * (1 - s.failureRate)
-	if how == outcomeUnreachable {
+	if result == outcomeUnreachable {
 		s.failureRate = max(s.failureRate, maxFailureRate)
 	}
 	if s.failureRate >= maxFailureRate {
@@ -195,7 +195,7 @@
 	outcomeUnused
 	outcomeGood
 	// outcomeFull: the endpoint refused the request and did not run it.
-	outcomeFull
+	outcomeDeclined
 	// outcomeFailed: the endpoint answered with an error, or its answer was cut or unusable.
 	outcomeFailed
 	// outcomeEnded: the endpoint ended while it ran the request.
--- a/pkg/gateway/histories.go
+++ b/pkg/gateway/histories.go
@@ -19,26 +19,26 @@
 	return &histories{requested: dispatch.History{Window: window}, granted: dispatch.History{Window: window}}
 }
 
-func (h *histories) req(req *dispatch.Request, now time.Time) {
+func (h *histories) recordRequest(req *dispatch.Request, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.requested.Grant(req, now)
 }
 
-func (h *histories) grant(req *dispatch.Request, now time.Time) {
+func (h *histories) recordGrant(req *dispatch.Request, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.granted.Grant(req, now)
 }
 
-func (h *histories) refund(req *dispatch.Request, now time.Time) {
+func (h *histories) recordRefund(req *dispatch.Request, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.granted.Refund(req, now)
 }
 
 // sum returns the totals of one customer.
-func (h *histories) sum(customer string, now time.Time) dispatch.OtherGroupUsage {
+func (h *histories) totals(customer string, now time.Time) dispatch.OtherGroupUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return dispatch.OtherGroupUsage{Requested: h.requested.Granted(customer, now), Granted: h.granted.Granted(customer, now)}
@@ -46,14 +46,14 @@
 
 // recordAsk records a request, and sets in it what its customer requested and was granted in
 // the other groups. The lock is held.
-func (s *scheduler) recordAsk(req *dispatch.Request, now time.Time) {
+func (s *scheduler) recordRequest(req *dispatch.Request, now time.Time) {
 	req.BoxHash = s.boxHash
 	if s.groupCount <= 1 {
 		return
 	}
-	all := s.poolHistories.sum(req.Customer, now)
+	all := s.poolHistories.totals(req.Customer, now)
 	own := dispatch.OtherGroupUsage{Requested: s.requested.Granted(req.Customer, now), Granted: s.granted.Granted(req.Customer, now)}
 	req.OtherGroupUsage = dispatch.OtherGroupUsage{Requested: max(0, all.Requested-own.Requested), Granted: max(0, all.Granted-own.Granted)}
-	s.poolHistories.req(req, now)
+	s.poolHistories.recordRequest(req, now)
 	s.requested.Grant(req, now)
 }
--- a/pkg/gateway/load_test.go
+++ b/pkg/gateway/load_test.go
@@ -9,7 +9,7 @@
 )
 
 // work has a box wait for its processor by the same time in each measurement of a period.
-func work(l *load, from time.Time, length, wait time.Duration) (until time.Time, began bool) {
+func addSamples(l *load, from time.Time, length, wait time.Duration) (until time.Time, began bool) {
 	until = from.Add(length)
 	for at := from; at.Before(until); at = at.Add(probeInterval) {
 		l.addSample(wait)
@@ -23,29 +23,29 @@
 	start := time.Unix(1000, 0)
 	Convey("A box whose work waits for the processor is not ready until it has caught up", t, func() {
 		l := load{}
-		now, began := work(&l, start, 5*time.Second, shortWait)
+		now, began := addSamples(&l, start, 5*time.Second, shortWait)
 		So(began, ShouldBeFalse)
-		now, began = work(&l, now, probeInterval, longWait)
+		now, began = addSamples(&l, now, probeInterval, longWait)
 		So(began, ShouldBeFalse)
-		now, began = work(&l, now, time.Second, longWait)
+		now, began = addSamples(&l, now, time.Second, longWait)
 		So(began, ShouldBeTrue)
 		So(l.isBusy(now), ShouldBeTrue)
-		now, began = work(&l, now, 2*time.Second, shortWait)
+		now, began = addSamples(&l, now, 2*time.Second, shortWait)
 		So(began, ShouldBeFalse)
 		So(l.isBusy(now), ShouldBeTrue)
-		now, _ = work(&l, now, 2*time.Second, shortWait)
+		now, _ = addSamples(&l, now, 2*time.Second, shortWait)
 		So(l.isBusy(now), ShouldBeFalse)
-		_, began = work(&l, now, time.Second, longWait)
+		_, began = addSamples(&l, now, time.Second, longWait)
 		So(began, ShouldBeTrue)
 	})
 	Convey("Callers are asked to open new connections only once the balancer has noticed", t, func() {
 		l := load{}
-		now, _ := work(&l, start, time.Second, longWait)
+		now, _ := addSamples(&l, start, time.Second, longWait)
 		So(l.isBusy(now), ShouldBeTrue)
 		So(l.isShedding(now), ShouldBeFalse)
-		now, _ = work(&l, now, balancerDelay, longWait)
+		now, _ = addSamples(&l, now, balancerDelay, longWait)
 		So(l.isShedding(now), ShouldBeTrue)
-		now, _ = work(&l, now, 10*time.Second, shortWait)
+		now, _ = addSamples(&l, now, 10*time.Second, shortWait)
 		So(l.isShedding(now), ShouldBeFalse)
 	})
 	Convey("Each byte that a box sends itself is measured, until the context ends", t, func() {
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -11,7 +11,7 @@
 )
 
 // encodeAsk encodes a request that waits or, with an endpoint, runs there.
-func encodeAsk(req *dispatch.Request, endpoint string, begun bool) *peerpb.Call {
+func encodeRequest(req *dispatch.Request, endpoint string, begun bool) *peerpb.Call {
 	now := time.Now()
 	message := &peerpb.Ask{
 		ID:         req.ID,
@@ -45,7 +45,7 @@
 }
 
 // decodeAsk is the inverse of encodeAsk.
-func decodeAsk(message *peerpb.Ask, streamNumber uint64, now time.Time) *dispatch.Request {
+func decodeRequest(message *peerpb.Ask, streamNumber uint64, now time.Time) *dispatch.Request {
 	req := &dispatch.Request{
 		ID:       message.ID,
 		Customer: message.Customer,
@@ -79,9 +79,9 @@
 	return parts
 }
 
-func encodeKept(kept dispatch.CachedParts) *peerpb.Call {
-	message := &peerpb.Kept{Endpoint: kept.Endpoint, Born: kept.Born}
-	for _, part := range kept.Parts {
+func encodeCachedParts(cached dispatch.CachedParts) *peerpb.Call {
+	message := &peerpb.Kept{Endpoint: cached.Endpoint, Born: cached.Born}
+	for _, part := range cached.Parts {
 		message.PartIDs = append(message.PartIDs, part.ID)
 		message.PartTokens = append(message.PartTokens, uint32(part.Tokens))
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-func encodeServed(s dispatch.GrantTotal) *peerpb.Call {
+func encodeGrantTotal(s dispatch.GrantTotal) *peerpb.Call {
 	return &peerpb.Call{Kind: &peerpb.Call_Served{Served: &peerpb.Served{
 		Customer: s.Customer,
 		Route:    s.Route,
@@ -122,9 +122,9 @@
 	return &peerpb.Call{Kind: &peerpb.Call_Withdraw{Withdraw: id}}
 }
 
-func encodeOutcome(id string, how dispatch.Outcome) *peerpb.Call {
+func encodeOutcome(id string, result dispatch.Outcome) *peerpb.Call {
 	end := &peerpb.End{ID: id}
-	switch how := how.(type) {
+	switch how := result.(type) {
 	case dispatch.Done:
 		end.How = peerpb.End_DONE
 	case dispatch.Unused:
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -22,20 +22,20 @@
 
 // Metrics are the metrics that one box publishes.
 type Metrics struct {
-	firstEvent record.Latencies
-	total      record.Latencies
-	refusals   expvar.Map
-	turned     expvar.Map
-	cuts       expvar.Map
+	firstEvent       record.Latencies
+	total            record.Latencies
+	refusals         expvar.Map
+	dispatchRefusals expvar.Map
+	cuts             expvar.Map
 	// granted counts grants, and missing the tokens of shared prompt parts that an engine had
 	// to read again for them.
-	granted expvar.Int
-	missing expvar.Int
+	granted       expvar.Int
+	missingTokens expvar.Int
 	// rests counts how often an endpoint asked this box for rest, and handedBack the chosen
 	// endpoints to which nothing was sent in the end, as they no longer admitted requests.
 	rests, handedBack expvar.Int
 	// readings counts the full reads of the endpoints that were begun, by reason.
-	readings expvar.Map
+	fullReads expvar.Map
 }
 
 // Publish registers the metrics under their expvar names. It may be called only once in a
@@ -44,13 +44,13 @@
 	expvar.Publish("FirstEvent", expvar.Func(func() any { return m.firstEvent.Summaries() }))
 	expvar.Publish("Total", expvar.Func(func() any { return m.total.Summaries() }))
 	expvar.Publish("Refusals", &m.refusals)
-	expvar.Publish("Turned", &m.turned)
+	expvar.Publish("Turned", &m.dispatchRefusals)
 	expvar.Publish("Cuts", &m.cuts)
 	expvar.Publish("Granted", &m.granted)
-	expvar.Publish("Missing", &m.missing)
+	expvar.Publish("Missing", &m.missingTokens)
 	expvar.Publish("Rests", &m.rests)
 	expvar.Publish("HandedBack", &m.handedBack)
-	expvar.Publish("Readings", &m.readings)
+	expvar.Publish("Readings", &m.fullReads)
 }
 
 // FirstEvent records the time to a stream's first event.
@@ -59,7 +59,7 @@
 }
 
 // Answered records the time to a whole answer.
-func (m *Metrics) Answered(customer, route string, took time.Duration) {
+func (m *Metrics) Completed(customer, route string, took time.Duration) {
 	m.total.Add(record.Key{Customer: customer, Class: route}, took)
 }
 
@@ -67,7 +67,7 @@
 func (m *Metrics) Refused(code string) { m.refusals.Add(code, 1) }
 
 // Turned counts a request that the dispatcher, or this box in its place, refused, by customer.
-func (m *Metrics) Turned(customer string) { m.turned.Add(customer, 1) }
+func (m *Metrics) RefusedByDispatcher(customer string) { m.dispatchRefusals.Add(customer, 1) }
 
 // Cut counts an answer that the caller sees truncated, by service.
 func (m *Metrics) Cut(service string) { m.cuts.Add(service, 1) }
@@ -75,14 +75,14 @@
 // Granted counts a grant.
 func (m *Metrics) Granted(v verdict) {
 	m.granted.Add(1)
-	m.missing.Add(int64(v.missingTokens))
+	m.missingTokens.Add(int64(v.missingTokens))
 }
 
 // RestRequested counts an answer in which an endpoint asks for rest.
 func (m *Metrics) RestRequested() { m.rests.Add(1) }
 
 // FullRead counts a full read of the endpoints that begins.
-func (m *Metrics) FullRead(reason registry.FullReadReason) { m.readings.Add(string(reason), 1) }
+func (m *Metrics) FullRead(reason registry.FullReadReason) { m.fullReads.Add(string(reason), 1) }
 
 // HandedBack counts a chosen endpoint to which nothing was sent.
 func (m *Metrics) HandedBack() { m.handedBack.Add(1) }
@@ -124,7 +124,7 @@
 			zap.Int64("InFlight", g.inFlight.Load()),
 			zap.Duration("ProcessorWait", g.load.meanDelay()),
 			zap.Int64("Granted", g.Metrics.granted.Value()),
-			zap.Int64("MissingTokens", g.Metrics.missing.Value()),
+			zap.Int64("MissingTokens", g.Metrics.missingTokens.Value()),
 			zap.Int64("Rests", g.Metrics.rests.Value()),
 			zap.Int64("HandedBack", g.Metrics.handedBack.Value()),
 			zap.String("Refusals", g.Metrics.refusals.String()),
--- a/pkg/gateway/model.go
+++ b/pkg/gateway/model.go
@@ -25,12 +25,12 @@
 		if refusal != nil {
 			return refusal
 		}
-		reply, err := c.attempt(to, c.LastEvent)
-		if err == nil && c.canRetryElsewhere(reply) {
-			reply.Close()
+		response, err := c.attempt(to, c.LastEvent)
+		if err == nil && c.canRetryElsewhere(response) {
+			response.Close()
 			err = errEndpointError
 		} else if err == nil {
-			err = c.answerModel(to, reply)
+			err = c.forwardResponse(to, response)
 		}
 		if err == nil {
 			return nil
@@ -61,8 +61,8 @@
 			return to, c.endedRefusal()
 		}
 		if v.endpoint == "" {
-			c.gateway.Metrics.Turned(c.customer)
-			return to, c.refuseTurned(v)
+			c.gateway.Metrics.RefusedByDispatcher(c.customer)
+			return to, c.dispatchRefusal(v)
 		}
 		if to, usable := c.checkGrant(s, v); usable {
 			to.suspendedTotal = suspended
@@ -96,7 +96,7 @@
 		return destination{
 			Endpoint:  found,
 			begin:     func() { s.begin(c.ID) },
-			finish:    func(how outcome) { s.end(c.ID, c.dispatchOutcome(how)) },
+			finish:    func(result outcome) { s.end(c.ID, c.dispatchOutcome(result)) },
 			granted:   v,
 			grantedAt: time.Now(),
 		}, true
@@ -107,7 +107,7 @@
 
 // refuseLocally refuses at once a request for which this box would not ask the dispatcher,
 // because enough requests of its customer already wait here.
-func (c *call) refuseLocally() *request.Refusal {
+func (c *call) refuseEarly() *request.Refusal {
 	p := c.gateway.pool(c.service.Name)
 	if p == nil || c.Prompt == nil {
 		return nil
@@ -117,8 +117,8 @@
 	if !refused {
 		return nil
 	}
-	c.gateway.Metrics.Turned(c.customer)
-	return c.refuseTurned(v)
+	c.gateway.Metrics.RefusedByDispatcher(c.customer)
+	return c.dispatchRefusal(v)
 }
 
 // dispatchRequest describes the request for the dispatcher.
@@ -137,14 +137,14 @@
 		Deadline:      time.Now().Add(c.remaining()),
 		Excluded:      c.excluded,
 		Zones:         c.zones,
-		Releases:      c.gateway.rollouts.pickSide(c.service.Name),
+		Releases:      c.gateway.rollouts.pickVersions(c.service.Name),
 
 		Fingerprint: c.fingerprint,
 	}
 }
 
 // refuseTurned returns the refusal for a verdict without an engine.
-func (c *call) refuseTurned(v verdict) *request.Refusal {
+func (c *call) dispatchRefusal(v verdict) *request.Refusal {
 	if refusal := c.refuseQuarantined(); refusal != nil {
 		return refusal
 	}
@@ -158,18 +158,18 @@
 }
 
 // dispatchOutcome converts the outcome of an attempt to the form that the pool takes.
-func (c *call) dispatchOutcome(how outcome) dispatch.Outcome {
-	switch how {
+func (c *call) dispatchOutcome(result outcome) dispatch.Outcome {
+	switch result {
 	case outcomeUnused:
 		return dispatch.Unused{}
-	case outcomeFull:
+	case outcomeDeclined:
 		return dispatch.NotRun{}
 	case outcomeUnreachable:
 		return dispatch.Unreachable{}
 	case outcomeFailed:
 		return dispatch.Broken{}
 	case outcomeEnded:
-		return dispatch.Ended{End: c.end}
+		return dispatch.Ended{End: c.lastEnd}
 	default:
 		return dispatch.Done{}
 	}
@@ -178,44 +178,44 @@
 var eventStreamType = []byte("text/event-stream")
 
 // answerModel forwards the answer of an engine: a stream event by event, anything else whole.
-func (c *call) answerModel(to destination, reply *endpoint.Response) error {
-	status := reply.Head.StatusCode()
-	if status == fasthttp.StatusOK && bytes.HasPrefix(reply.Head.ContentType(), eventStreamType) {
-		return c.answerStream(to, reply)
+func (c *call) forwardResponse(to destination, response *endpoint.Response) error {
+	status := response.Head.StatusCode()
+	if status == fasthttp.StatusOK && bytes.HasPrefix(response.Head.ContentType(), eventStreamType) {
+		return c.forwardStream(to, response)
 	}
-	if err := c.forwardWhole(reply); err != nil {
+	if err := c.forwardBuffered(response); err != nil {
 		return err
 	}
 	c.logEndpointError(to, status)
-	how := outcomeUnknown
+	result := outcomeUnknown
 	failed := status >= fasthttp.StatusInternalServerError
-	c.gateway.rollouts.recordAnswer(&to.Endpoint, c.route.Name, failed, 0)
+	c.gateway.rollouts.recordResponse(&to.Endpoint, c.route.Name, failed, 0)
 	if failed {
-		how = outcomeFailed
+		result = outcomeFailed
 	} else {
-		c.clearFingerprint(reply)
+		c.clearFingerprint(response)
 	}
-	to.finish(how)
+	to.finish(result)
 	return nil
 }
 
 // answerStream gives the stream to the HTTP server, which reads it event by event.
-func (c *call) answerStream(to destination, reply *endpoint.Response) error {
+func (c *call) forwardStream(to destination, response *endpoint.Response) error {
 	s := &stream{
 		call:      c,
 		to:        to,
-		reply:     reply,
+		response:  response,
 		lastEvent: c.LastEvent,
-		sentAt:    to.grantedAt,
+		grantedAt: to.grantedAt,
 		grant:     to.granted,
 	}
-	if err := s.prime(); err != nil {
-		reply.Close()
+	if err := s.awaitEvent(); err != nil {
+		response.Close()
 		return err
 	}
 	to.begin()
 	c.gateway.Metrics.FirstEvent(c.customer, c.route.Name, time.Since(c.arrived))
-	c.forwardHead(reply)
+	c.forwardHead(response)
 	c.streaming = true
 	c.http.Response.ImmediateHeaderFlush = true
 	c.http.Response.SetBodyStream(s, -1)
@@ -228,7 +228,7 @@
 	c := s.call
 	for {
 		if !c.route.Resumable || s.lastEvent == "" || context.Cause(c.ctx) != nil {
-			s.to.finish(c.classifyBroken(s.to, broken))
+			s.to.finish(c.recordBroken(s.to, broken))
 			return broken
 		}
 		if refusal := c.handleFailure(s.to, broken); refusal != nil {
@@ -241,9 +241,9 @@
 		}
 		s.settled = false
 		s.to = to
-		reply, err := c.attempt(to, s.lastEvent)
-		if err == nil && reply.Head.StatusCode() != fasthttp.StatusOK {
-			reply.Close()
+		response, err := c.attempt(to, s.lastEvent)
+		if err == nil && response.Head.StatusCode() != fasthttp.StatusOK {
+			response.Close()
 			err = &unusableError{reason: "the stream was not continued"}
 		}
 		if err == nil {
@@ -251,7 +251,7 @@
 				zap.String("Request", c.ID),
 				zap.String("Endpoint", to.ID),
 				zap.String("After", s.lastEvent))
-			s.reply = reply
+			s.response = response
 			return nil
 		}
 		broken = err
--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -86,14 +86,14 @@
 // from which this one fetches the tallies of a roll-out.
 func (g *Gateway) dispatchers() (boxes []string) {
 	for _, group := range g.schedulers() {
-		boxes = append(boxes, group.wantedSessions(readyDispatchers)...)
+		boxes = append(boxes, group.wantedSessions(sessionsPerGroup)...)
 	}
 	return append(boxes, g.rollouts.proversToAsk()...)
 }
 
 // readyDispatchers is the number of top-ranked boxes of a group of engines to which a session
 // is kept.
-const readyDispatchers = 2
+const sessionsPerGroup = 2
 
 // State returns what is in force on this box, for its peers.
 func (g *Gateway) State() peer.State {
@@ -204,15 +204,15 @@
 	}
 	// New departures change the directory, which is then reported to the other peers.
 	g.registry.OfferDepartures(state.Departures, from.Box, time.Now())
-	if state.Revision > g.catalogVersion() && g.catalogs.addSource(from.Box, state.Revision) {
-		g.work.Go(g.catalogs.run)
+	if state.Revision > g.catalogVersion() && g.catalogFetcher.addSource(from.Box, state.Revision) {
+		g.work.Go(g.catalogFetcher.run)
 	}
-	if state.Orders > g.registry.OrdersVersion() && g.orders.addSource(from.Box, uint64(state.Orders)) {
-		g.work.Go(g.orders.run)
+	if state.Orders > g.registry.OrdersVersion() && g.ordersFetcher.addSource(from.Box, uint64(state.Orders)) {
+		g.work.Go(g.ordersFetcher.run)
 	}
 	learned, fetch := g.registry.ReceiveKnowledge(state.Knowledge, state.Directory)
-	if fetch && g.directories.addSource(from.Box, uint64(state.Knowledge.Known)) {
-		g.work.Go(g.directories.run)
+	if fetch && g.directoryFetcher.addSource(from.Box, uint64(state.Knowledge.Known)) {
+		g.work.Go(g.directoryFetcher.run)
 	}
 	if learned {
 		g.exchange.SendNow()
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/plain.go
@@ -23,17 +23,17 @@
 			return refusal
 		}
 		began := time.Now()
-		reply, err := c.attempt(to, c.LastEvent)
-		if err == nil && c.canRetryElsewhere(reply) {
-			reply.Close()
+		response, err := c.attempt(to, c.LastEvent)
+		if err == nil && c.canRetryElsewhere(response) {
+			response.Close()
 			err = errEndpointError
 		} else if err == nil {
-			status := reply.Head.StatusCode()
+			status := response.Head.StatusCode()
 			good := status < fasthttp.StatusInternalServerError
-			if err = c.forwardWhole(reply); err == nil {
+			if err = c.forwardBuffered(response); err == nil {
 				c.logEndpointError(to, status)
 				if good {
-					c.clearFingerprint(reply)
+					c.clearFingerprint(response)
 				}
 				c.settlePlain(to, good, time.Since(began))
 				return nil
@@ -50,20 +50,20 @@
 
 // canRetryElsewhere reports whether the answer is an error that another endpoint may not return
 // and the request may be repeated.
-func (c *call) canRetryElsewhere(reply *endpoint.Response) bool {
-	return reply.Head.StatusCode() >= fasthttp.StatusInternalServerError && c.route.Repeatable &&
-		c.life.Attempts() < c.route.MaxAttempts && c.ctx.Err() == nil && c.gateway.budget.canTake(c.service.Name)
+func (c *call) canRetryElsewhere(response *endpoint.Response) bool {
+	return response.Head.StatusCode() >= fasthttp.StatusInternalServerError && c.route.Repeatable &&
+		c.lifecycle.Attempts() < c.route.MaxAttempts && c.ctx.Err() == nil && c.gateway.budget.canTake(c.service.Name)
 }
 
 // settlePlain records a whole answer of a plain endpoint.
 func (c *call) settlePlain(to destination, good bool, took time.Duration) {
-	how := outcomeFailed
+	result := outcomeFailed
 	if good {
-		how = outcomeGood
-		c.gateway.Metrics.Answered(c.customer, c.route.Name, time.Since(c.arrived))
+		result = outcomeGood
+		c.gateway.Metrics.Completed(c.customer, c.route.Name, time.Since(c.arrived))
 	}
-	c.gateway.rollouts.recordAnswer(&to.Endpoint, c.route.Name, !good, took)
-	to.finishTimed(how, took)
+	c.gateway.rollouts.recordResponse(&to.Endpoint, c.route.Name, !good, took)
+	to.finishTimed(result, took)
 }
 
 // choosePlain selects an endpoint for a request to a plain service. The caller settles the
@@ -73,10 +73,10 @@
 	if len(c.zones) > 0 {
 		endpoints = slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !slices.Contains(c.zones, e.Zone) })
 	}
-	if side := c.gateway.rollouts.pickSide(c.service.Name); side != (rollout.VersionFilter{}) {
-		endpoints = slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !side.Admits(e.Release) })
+	if versions := c.gateway.rollouts.pickVersions(c.service.Name); versions != (rollout.VersionFilter{}) {
+		endpoints = slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !versions.Admits(e.Release) })
 	}
-	endpoints = c.exposableEndpoints(endpoints)
+	endpoints = c.allowedEndpoints(endpoints)
 	chosen, state := c.gateway.health.choose(endpoints, c.excluded, c.gateway.Settings.Zone)
 	if state == nil && len(c.excluded) > 0 {
 		// Every endpoint has failed this request once; trying one again is better than refusing.
@@ -87,10 +87,10 @@
 		c.releaseRetry()
 		return to, c.refusePlain(endpoints)
 	}
-	settle := func(how outcome, took time.Duration) { c.gateway.health.finish(chosen.ID, state, how, took) }
+	settle := func(result outcome, took time.Duration) { c.gateway.health.finish(chosen.ID, state, result, took) }
 	return destination{
 		Endpoint:    chosen,
-		finish:      func(how outcome) { settle(how, 0) },
+		finish:      func(result outcome) { settle(result, 0) },
 		finishTimed: settle,
 
 		suspendedTotal: c.gateway.suspensions.Detected(),
--- a/pkg/gateway/pool.go
+++ b/pkg/gateway/pool.go
@@ -99,19 +99,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.directory = directory
-	touched := map[int]bool{}
+	affected := map[int]bool{}
 	for i := range changes {
-		p.countEndpoint(changes[i].Before, -1, touched)
-		p.countEndpoint(changes[i].After, 1, touched)
+		p.countEndpoint(changes[i].Before, -1, affected)
+		p.countEndpoint(changes[i].After, 1, affected)
 	}
-	if len(touched) == 0 {
+	if len(affected) == 0 {
 		return
 	}
 	if count := p.groupCount(time.Now()); count != len(p.groups) {
 		p.repartition(count)
 		return
 	}
-	for i := range touched {
+	for i := range affected {
 		if group := p.groups[i]; group != nil {
 			group.configure(p.service, p.groupTokenRate(i), len(p.groups))
 			group.setEndpoints(p.members(i))
@@ -121,14 +121,14 @@
 
 // countEndpoint adds by to the engine counts for an entry of this pool, and marks its group as
 // touched. The caller holds the lock.
-func (p *pool) countEndpoint(endpoint *route.Endpoint, by int, touched map[int]bool) {
+func (p *pool) countEndpoint(endpoint *route.Endpoint, delta int, affected map[int]bool) {
 	if endpoint == nil || endpoint.Service != p.name || endpoint.Leaving {
 		return
 	}
 	group := endpoint.GroupOf(len(p.groups))
-	p.engines += by
-	p.weights[group] += by
-	touched[group] = true
+	p.engines += delta
+	p.weights[group] += delta
+	affected[group] = true
 }
 
 // members returns the engines of a group. The caller holds the lock.
--- a/pkg/gateway/promptcache.go
+++ b/pkg/gateway/prefixcache.go
@@ -30,14 +30,14 @@
 // not. A box that does not yet know the fleet may take itself for the dispatcher, so it waits:
 // when 295 boxes all asked 301 engines, it took a box 1.3 s, in which it was short of
 // processor time. The lock is held.
-func (s *scheduler) learnPromptCaches() {
+func (s *scheduler) learnPrefixCaches() {
 	if s.cachesKnown || !s.pool.Warm {
 		return
 	}
 	s.cachesKnown = true
 	s.gateway.work.Go(func() error {
 		if s.awaitSettled() && s.isDispatcher() {
-			s.listPromptCaches(s.members())
+			s.listPrefixCaches(s.members())
 			return nil
 		}
 		s.mu.Lock()
@@ -76,20 +76,20 @@
 	return slices.Clone(s.endpoints)
 }
 
-func (s *scheduler) listPromptCaches(engines []route.Endpoint) {
+func (s *scheduler) listPrefixCaches(engines []route.Endpoint) {
 	group := errgroup.Group{}
 	group.SetLimit(maxConcurrentLists)
 	began := time.Now()
 	for _, engine := range engines {
 		group.Go(func() error {
-			kept, err := s.gateway.listPromptCache(engine)
+			cached, err := s.gateway.listPrefixCache(engine)
 			if err != nil {
 				s.log.Warn("memory of an engine not listed", zap.String("Endpoint", engine.ID), zap.Error(err))
 				return nil
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.pool.ApplyCacheReport(kept, time.Now())
+			s.pool.ApplyCacheReport(cached, time.Now())
 			return nil
 		})
 	}
@@ -101,14 +101,14 @@
 }
 
 // listPromptCache asks one engine for its cached parts.
-func (g *Gateway) listPromptCache(engine route.Endpoint) (kept dispatch.CachedParts, err error) {
+func (g *Gateway) listPrefixCache(engine route.Endpoint) (cached dispatch.CachedParts, err error) {
 	defer func() { err = trace.Wrap(err, "listing the cached parts of engine %s", engine.ID) }()
 	ctx, cancel := context.WithTimeout(g.workContext, listTimeout)
 	defer cancel()
 	request := fasthttp.AcquireRequest()
 	request.Header.SetHost(engine.Address)
 	request.Header.SetRequestURI(g.Translator.CachePath())
-	reply, err := g.client(engine.Address).Do(ctx, &endpoint.Call{
+	response, err := g.client(engine.Address).Do(ctx, &endpoint.Call{
 		Request: request,
 		Sending: func() error {
 			if !g.admits(&engine) {
@@ -119,18 +119,18 @@
 		Written: func() { fasthttp.ReleaseRequest(request) },
 	})
 	if err != nil {
-		return kept, err
+		return cached, err
 	}
-	defer reply.Close()
-	g.handleSelfReport(&engine, g.Translator.ParseResponse(&reply.Head), g.Logs.For(logflags.Pool))
-	if status := reply.Head.StatusCode(); status != fasthttp.StatusOK {
-		return kept, trace.BadParameter("status %d", status)
+	defer response.Close()
+	g.handleSelfReport(&engine, g.Translator.ParseResponse(&response.Head), g.Logs.For(logflags.Pool))
+	if status := response.Head.StatusCode(); status != fasthttp.StatusOK {
+		return cached, trace.BadParameter("status %d", status)
 	}
-	body, err := reply.ReadAll(maxAnswerBytes)
+	body, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
-		return kept, err
+		return cached, err
 	}
-	kept.Endpoint = engine.ID
-	kept.Born, kept.Parts, err = g.Translator.ParseCachedParts(body)
-	return kept, err
+	cached.Endpoint = engine.ID
+	cached.Born, cached.Parts, err = g.Translator.ParseCachedParts(body)
+	return cached, err
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -35,7 +35,7 @@
 
 // exposableEndpoints returns the endpoints that a request may be sent to. Once an endpoint has
 // ended under it, this box runs it at no more endpoints at once than may still end.
-func (c *call) exposableEndpoints(endpoints []route.Endpoint) []route.Endpoint {
+func (c *call) allowedEndpoints(endpoints []route.Endpoint) []route.Endpoint {
 	status := c.gateway.ledger.Check(c.fingerprint, time.Now())
 	if status.Ends == 0 {
 		return endpoints
@@ -49,8 +49,8 @@
 
 // clearFingerprint records that the request was answered completely, so that it is not the
 // cause of the ends.
-func (c *call) clearFingerprint(reply *endpoint.Response) {
-	if !reply.IsFramed() {
+func (c *call) clearFingerprint(response *endpoint.Response) {
+	if !response.IsFramed() {
 		return
 	}
 	if c.gateway.ledger.Clear(c.fingerprint, c.service.Name, time.Now()) {
@@ -67,13 +67,13 @@
 
 // classifyBroken returns what a broken attempt says about its endpoint. If the endpoint ended,
 // it records the end.
-func (c *call) classifyBroken(to destination, err error) outcome {
+func (c *call) recordBroken(to destination, err error) outcome {
 	if !hasEnded(to.Endpoint, c.gateway.registry.Directory(), err) {
 		return outcomeFailed
 	}
 	now := time.Now()
 	instance := quarantine.InstanceOf(to.Service, to.ID, to.Born)
-	c.end = c.gateway.ledger.RecordEnd(c.fingerprint, instance, now)
+	c.lastEnd = c.gateway.ledger.RecordEnd(c.fingerprint, instance, now)
 	c.gateway.unconfirmed.add(instance, to.Endpoint, c.gateway.registry.Knowledge().Polls, now)
 	c.gateway.publishEnds()
 	c.log().Info("endpoint ended under a request",
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -16,11 +16,11 @@
 )
 
 // engineAt is an endpoint whose instance has a start time.
-func engineAt(born int64) route.Endpoint {
+func engineBornAt(born int64) route.Endpoint {
 	return route.Endpoint{ID: "engine", Address: "10.0.0.1:1", Facts: lifecycle.Facts{Born: born}}
 }
 
-func listing(endpoints ...route.Endpoint) *route.Directory {
+func directoryOf(endpoints ...route.Endpoint) *route.Directory {
 	var wanted []route.Change
 	for i := range endpoints {
 		wanted = append(wanted, route.Change{After: &endpoints[i]})
@@ -30,7 +30,7 @@
 }
 
 func TestHasEnded(t *testing.T) {
-	leaving := engineAt(1)
+	leaving := engineBornAt(1)
 	leaving.Leaving = true
 	brokenOff := &endpoint.NoResponseError{Address: "10.0.0.1:1", Err: io.ErrUnexpectedEOF}
 	for name, is := range map[string]struct {
@@ -39,16 +39,16 @@
 		err       error
 		want      bool
 	}{
-		"a connection closed in the middle":                   {engineAt(1), listing(engineAt(1)), brokenOff, true},
-		"a connection that was reset":                         {engineAt(1), listing(engineAt(1)), syscall.ECONNRESET, true},
-		"a closed connection of a leaving endpoint":           {engineAt(1), listing(leaving), brokenOff, false},
-		"a closed connection of an endpoint that was leaving": {leaving, listing(), brokenOff, false},
-		"silence of a listed endpoint":                        {engineAt(1), listing(engineAt(1)), errStalled, false},
-		"silence of an endpoint whose entry is gone":          {engineAt(1), listing(), errStalled, true},
-		"silence of an endpoint that restarted":               {engineAt(1), listing(engineAt(2)), syscall.ETIMEDOUT, true},
-		"an entry that shows a restart":                       {engineAt(1), listing(engineAt(2)), errRestarted, true},
-		"an unusable answer":                                  {engineAt(1), listing(engineAt(1)), &unusableError{reason: "no signature"}, false},
-		"an error that is not of the connection":              {engineAt(1), listing(engineAt(1)), errors.New("other"), false},
+		"a connection closed in the middle":                   {engineBornAt(1), directoryOf(engineBornAt(1)), brokenOff, true},
+		"a connection that was reset":                         {engineBornAt(1), directoryOf(engineBornAt(1)), syscall.ECONNRESET, true},
+		"a closed connection of a leaving endpoint":           {engineBornAt(1), directoryOf(leaving), brokenOff, false},
+		"a closed connection of an endpoint that was leaving": {leaving, directoryOf(), brokenOff, false},
+		"silence of a listed endpoint":                        {engineBornAt(1), directoryOf(engineBornAt(1)), errStalled, false},
+		"silence of an endpoint whose entry is gone":          {engineBornAt(1), directoryOf(), errStalled, true},
+		"silence of an endpoint that restarted":               {engineBornAt(1), directoryOf(engineBornAt(2)), syscall.ETIMEDOUT, true},
+		"an entry that shows a restart":                       {engineBornAt(1), directoryOf(engineBornAt(2)), errRestarted, true},
+		"an unusable answer":                                  {engineBornAt(1), directoryOf(engineBornAt(1)), &unusableError{reason: "no signature"}, false},
+		"an error that is not of the connection":              {engineBornAt(1), directoryOf(engineBornAt(1)), errors.New("other"), false},
 	} {
 		Convey("It is determined whether an endpoint ended by "+name, t, func() {
 			So(hasEnded(is.chosen, is.directory, is.err), ShouldEqual, is.want)
@@ -61,7 +61,7 @@
 	instance := quarantine.InstanceOf("llm", "engine", 1)
 	resolved := func(directory *route.Directory, polls uint64, times ...time.Duration) (alive int) {
 		u := &unconfirmedEnds{}
-		u.add(instance, engineAt(1), 10, start)
+		u.add(instance, engineBornAt(1), 10, start)
 		for _, after := range times {
 			alive += len(u.resolve(directory, polls+uint64(after/time.Second), start.Add(after)))
 		}
@@ -69,18 +69,18 @@
 	}
 	all := []time.Duration{time.Second, retractDelay - 1, retractDelay + time.Second, retractDelay + 2*time.Second}
 	Convey("An endpoint that is still listed, by a poll that came late enough, has not ended", t, func() {
-		So(resolved(listing(engineAt(1)), 10, all...), ShouldEqual, 1)
-		So(resolved(listing(engineAt(1)), 10, all[:2]...), ShouldEqual, 0)
+		So(resolved(directoryOf(engineBornAt(1)), 10, all...), ShouldEqual, 1)
+		So(resolved(directoryOf(engineBornAt(1)), 10, all[:2]...), ShouldEqual, 0)
 	})
 	Convey("Without a later poll, no end is retracted", t, func() {
 		u := &unconfirmedEnds{}
-		u.add(instance, engineAt(1), 10, start)
-		So(u.resolve(listing(engineAt(1)), 12, start.Add(retractDelay-1)), ShouldBeEmpty)
-		So(u.resolve(listing(engineAt(1)), 12, start.Add(retractDelay+time.Second)), ShouldBeEmpty)
-		So(u.resolve(listing(engineAt(1)), 13, start.Add(retractDelay+time.Second)), ShouldHaveLength, 1)
+		u.add(instance, engineBornAt(1), 10, start)
+		So(u.resolve(directoryOf(engineBornAt(1)), 12, start.Add(retractDelay-1)), ShouldBeEmpty)
+		So(u.resolve(directoryOf(engineBornAt(1)), 12, start.Add(retractDelay+time.Second)), ShouldBeEmpty)
+		So(u.resolve(directoryOf(engineBornAt(1)), 13, start.Add(retractDelay+time.Second)), ShouldHaveLength, 1)
 	})
 	Convey("An endpoint whose entry is gone, or that restarted, has ended", t, func() {
-		So(resolved(listing(), 10, all...), ShouldEqual, 0)
-		So(resolved(listing(engineAt(2)), 10, all...), ShouldEqual, 0)
+		So(resolved(directoryOf(), 10, all...), ShouldEqual, 0)
+		So(resolved(directoryOf(engineBornAt(2)), 10, all...), ShouldEqual, 0)
 	})
 }
--- a/pkg/gateway/regions.go
+++ b/pkg/gateway/regions.go
@@ -13,7 +13,7 @@
 // allowedZones returns the availability zones whose region is in every given list; an empty
 // list allows all regions. If all lists are empty, zones is nil, which means any. served is
 // false if no zone is allowed.
-func (s *Settings) allowedZones(regionLists ...[]string) (zones []string, served bool) {
+func (s *Settings) allowedZones(regionLists ...[]string) (zones []string, allowed bool) {
 	regionLists = slices.DeleteFunc(regionLists, func(regions []string) bool { return len(regions) == 0 })
 	if len(regionLists) == 0 {
 		return nil, true
--- a/pkg/gateway/remote.go
+++ b/pkg/gateway/remote.go
@@ -37,8 +37,8 @@
 	p := &pending{remote: r, queued: make(chan struct{}, 1), decided: make(chan verdict, 1), askedAt: time.Now()}
 	s.mu.Lock()
 	s.pending[req.ID] = p
-	sent := r.stream.Send(encodeAsk(req, "", false))
-	timeout := s.responses.timeout(req.LatencyTarget)
+	sent := r.stream.Send(encodeRequest(req, "", false))
+	timeout := s.responseTimes.timeout(req.LatencyTarget)
 	if r.respondedAt.IsZero() {
 		timeout = maxResponseTimeout
 	}
@@ -108,7 +108,7 @@
 func (s *scheduler) recordTimeout(r *remote, p *pending, id string) (responded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.responses.recordTimeout(id, p.askedAt)
+	s.responseTimes.recordTimeout(id, p.askedAt)
 	return r.respondedSince(p)
 }
 
@@ -213,11 +213,11 @@
 	if s.remote != nil {
 		s.remote.stream.Close()
 	}
-	s.remote, s.aloneSince = r, time.Time{}
+	s.remote, s.localSince = r, time.Time{}
 	now := time.Now()
 	r.usedAt = now
 	for _, rest := range s.gateway.rests.active(now) {
-		if s.has(rest.Endpoint) {
+		if s.hasEngine(rest.Endpoint) {
 			r.stream.Send(encodeRest(rest, now))
 		}
 	}
@@ -225,17 +225,17 @@
 	sameIncarnation := incarnation != 0 && incarnation == s.syncedIncarnation
 	s.syncedIncarnation = incarnation
 	if !sameIncarnation || s.persistent {
-		for _, kept := range s.pool.CachedParts() {
-			r.stream.Send(encodeKept(kept))
+		for _, cached := range s.pool.CachedParts() {
+			r.stream.Send(encodeCachedParts(cached))
 		}
 	}
 	running := make([]*dispatch.Request, 0, len(s.running))
 	for _, one := range s.running {
-		r.stream.Send(encodeAsk(one.ask, one.endpoint, one.begun))
-		running = append(running, one.ask)
+		r.stream.Send(encodeRequest(one.req, one.endpoint, one.begun))
+		running = append(running, one.req)
 	}
-	for _, served := range s.granted.Report(running, now) {
-		r.stream.Send(encodeServed(served))
+	for _, total := range s.granted.Report(running, now) {
+		r.stream.Send(encodeGrantTotal(total))
 	}
 	s.log.Info("another box dispatches",
 		zap.String("Service", s.groupName),
@@ -262,7 +262,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.remote == r {
-		s.remote, s.aloneSince = nil, time.Now()
+		s.remote, s.localSince = nil, time.Now()
 		s.log.Info("stream to the box that dispatches ended", zap.String("Box", r.box), zap.Error(err))
 	}
 }
@@ -274,10 +274,10 @@
 	r.respondedAt = time.Now()
 	p := s.pending[message.ID]
 	if p == nil || p.remote != r {
-		s.responses.recordLate(message.ID, time.Now())
+		s.responseTimes.recordLate(message.ID, time.Now())
 	} else if !p.responded {
 		p.responded = true
-		s.responses.record(time.Since(p.askedAt))
+		s.responseTimes.record(time.Since(p.askedAt))
 	}
 	if message.Queued {
 		if p != nil && p.remote == r {
@@ -310,7 +310,7 @@
 		if err := stream.Receive(call); err != nil {
 			return err
 		}
-		s.handle(streamID, call, stream)
+		s.handleCall(streamID, call, stream)
 	}
 }
 
@@ -345,7 +345,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.streams, streamID)
-	s.leftAt[from.Box] = time.Now()
+	s.streamEndedAt[from.Box] = time.Now()
 	s.pool.DropStream(streamID, time.Now())
 	s.log.Info("no longer dispatching for a box",
 		zap.String("Service", s.groupName),
@@ -354,7 +354,7 @@
 }
 
 // handle handles one message of a box that asks this one.
-func (s *scheduler) handle(streamID uint64, call *peerpb.Call, stream *peer.DispatchStream) {
+func (s *scheduler) handleCall(streamID uint64, call *peerpb.Call, stream *peer.DispatchStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -374,7 +374,7 @@
 		s.pool.SetRest(streamID, decodeRest(kind.Rest, now), now)
 		return
 	case *peerpb.Call_Served:
-		s.recordServed(streamID, kind.Served, now)
+		s.recordGrantTotal(streamID, kind.Served, now)
 		return
 	case *peerpb.Call_Begin:
 		s.pool.Begin(kind.Begin, now)
@@ -391,9 +391,9 @@
 // recordServed records what the requests of a router were granted by another dispatcher. If the
 // router asked this box within the share window, its grants are already recorded here and would
 // count twice. The caller holds the lock.
-func (s *scheduler) recordServed(streamID uint64, served *peerpb.Served, now time.Time) {
+func (s *scheduler) recordGrantTotal(streamID uint64, served *peerpb.Served, now time.Time) {
 	r := s.streams[streamID]
-	if r == nil || now.Sub(s.leftAt[r.box]) < s.pool.Rules.Window {
+	if r == nil || now.Sub(s.streamEndedAt[r.box]) < s.pool.Rules.Window {
 		return
 	}
 	s.pool.AddHistory(dispatch.GrantTotal{Customer: served.Customer, Route: served.Route, Tokens: float64(served.Tokens)}, now)
@@ -402,13 +402,13 @@
 // handleRequest takes a request of another box: one that runs already, which has an engine, or
 // one that waits for a verdict. The caller holds the lock.
 func (s *scheduler) handleRequest(streamID uint64, message *peerpb.Ask, stream *peer.DispatchStream, now time.Time) {
-	req := decodeAsk(message, streamID, now)
+	req := decodeRequest(message, streamID, now)
 	if message.Endpoint != "" {
 		s.pool.Adopt(req, message.Endpoint, message.Begun, now)
 		return
 	}
 	s.pool.Routers = 1
-	s.learnPromptCaches()
+	s.learnPrefixCaches()
 	s.pool.Submit(req, now)
 	s.decide()
 	if s.pool.IsWaiting(req.ID) {
--- a/pkg/gateway/response_time.go
+++ b/pkg/gateway/response_time.go
@@ -34,7 +34,7 @@
 	// meanFactor times the mean response time is the timeout, within the bounds above.
 	meanFactor = 4
 	// responseGain is the weight of the newest response in the mean.
-	responseGain = 0.1
+	responseWeight = 0.1
 	// maxTimedOut bounds timedOut, as some responses never arrive.
 	maxTimedOut = 1000
 )
@@ -46,7 +46,7 @@
 
 // record adds the time that a response took to the mean.
 func (r *responseTimes) record(took time.Duration) {
-	r.mean += time.Duration(responseGain * float64(took-r.mean))
+	r.mean += time.Duration(responseWeight * float64(took-r.mean))
 }
 
 // recordTimeout records a request whose response did not come in time.
--- a/pkg/gateway/rests.go
+++ b/pkg/gateway/rests.go
@@ -58,13 +58,13 @@
 
 // handleSelfReport applies what an endpoint reports about itself in the head of an answer. It
 // is called before the answer is processed further, so that it applies to the next request.
-func (c *call) handleSelfReport(to destination, answered ResponseInfo) {
-	if !answered.hasSelfReport() {
+func (c *call) handleSelfReport(to destination, info ResponseInfo) {
+	if !info.hasSelfReport() {
 		return
 	}
-	c.gateway.handleSelfReport(&to.Endpoint, answered, c.log().With(
+	c.gateway.handleSelfReport(&to.Endpoint, info, c.log().With(
 		zap.String("Request", c.ID),
-		zap.Int("Attempts", c.life.Attempts()),
+		zap.Int("Attempts", c.lifecycle.Attempts()),
 		zap.String("GrantedBy", to.granted.decidedBy)))
 }
 
@@ -76,20 +76,20 @@
 
 // handleSelfReport is called for every answer of an endpoint, whether to a caller's request or
 // to one of this box's own.
-func (g *Gateway) handleSelfReport(from *route.Endpoint, answered ResponseInfo, log *zap.Logger) {
+func (g *Gateway) handleSelfReport(from *route.Endpoint, info ResponseInfo, log *zap.Logger) {
 	now := time.Now()
-	if answered.Leaving {
+	if info.Leaving {
 		// The row of an unlisted endpoint may reappear unchanged.
 		if known, listed := g.registry.Directory().Find(from.ID); !listed || !known.Leaving {
 			g.registry.RecordDeparture(from, now)
 		}
 	}
-	length, problem := restOf(answered)
+	length, problem := restOf(info)
 	if problem != nil {
 		// The default rest of a full endpoint applies instead.
 		log.Warn("rest that an endpoint asks for not taken",
 			zap.String("Endpoint", from.ID),
-			zap.Duration("Rest", answered.Rest),
+			zap.Duration("Rest", info.Rest),
 			zap.Error(problem))
 	}
 	if length > 0 {
@@ -98,14 +98,14 @@
 }
 
 // restOf returns the rest that an answer requests; 0 means none.
-func restOf(answered ResponseInfo) (length time.Duration, problem error) {
+func restOf(info ResponseInfo) (length time.Duration, problem error) {
 	switch {
-	case answered.RestProblem != nil:
-		return 0, answered.RestProblem
-	case answered.Rest > lifecycle.MaxRest:
+	case info.RestProblem != nil:
+		return 0, info.RestProblem
+	case info.Rest > lifecycle.MaxRest:
 		return 0, errRestTooLong
 	}
-	return answered.Rest, nil
+	return info.Rest, nil
 }
 
 // recordRest stops sending requests to an endpoint until its rest ends.
--- a/pkg/gateway/rests_test.go
+++ b/pkg/gateway/rests_test.go
@@ -103,8 +103,8 @@
 			So(problem, ShouldBeNil)
 			So(length, ShouldEqual, taken)
 		}
-		for _, answered := range []ResponseInfo{{Rest: lifecycle.MaxRest + 1}, {RestProblem: errRestTooLong}} {
-			length, problem := restOf(answered)
+		for _, info := range []ResponseInfo{{Rest: lifecycle.MaxRest + 1}, {RestProblem: errRestTooLong}} {
+			length, problem := restOf(info)
 			So(problem, ShouldNotBeNil)
 			So(length, ShouldEqual, 0)
 		}
--- a/pkg/gateway/rollouts.go
+++ b/pkg/gateway/rollouts.go
@@ -41,7 +41,7 @@
 // activeRollout is the state of one order in force.
 type activeRollout struct {
 	rollout.Evaluator
-	answers rollout.ResponseStats
+	responses rollout.ResponseStats
 	// targets and others are the numbers of endpoints of the target version and of other
 	// versions that admit requests.
 	targets, others int
@@ -76,7 +76,7 @@
 )
 
 // follow replaces the active roll-outs by those of the operator's orders.
-func (r *rollouts) follow(orders *route.Orders) {
+func (r *rollouts) setOrders(orders *route.Orders) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	active := map[string]*activeRollout{}
@@ -111,7 +111,7 @@
 }
 
 // pickSide picks at random, by the roll-out's share, which versions a request may go to.
-func (r *rollouts) pickSide(service string) rollout.VersionFilter {
+func (r *rollouts) pickVersions(service string) rollout.VersionFilter {
 	if r.activeCount.Load() == 0 {
 		return rollout.VersionFilter{}
 	}
@@ -121,12 +121,12 @@
 	if a == nil {
 		return rollout.VersionFilter{}
 	}
-	return a.side(rand.Float64(), time.Now())
+	return a.versionsFor(rand.Float64(), time.Now())
 }
 
 // side returns the side for a random number from [0, 1). If only one side has endpoints and
 // neither is excluded, requests go to all.
-func (a *activeRollout) side(drawn float64, now time.Time) rollout.VersionFilter {
+func (a *activeRollout) versionsFor(drawn float64, now time.Time) rollout.VersionFilter {
 	verdict, since := a.Verdict()
 	target := rollout.VersionFilter{Version: a.Order.Target}
 	others := rollout.VersionFilter{Version: a.Order.Target, Others: true}
@@ -162,19 +162,19 @@
 		return false
 	}
 	verdict, _ := a.Verdict()
-	return verdict >= rollout.Halted && !a.side(0, time.Now()).Admits(endpoint.Release)
+	return verdict >= rollout.Halted && !a.versionsFor(0, time.Now()).Admits(endpoint.Release)
 }
 
 // recordAnswer counts an answer for the roll-out of its service. A took of 0 means that the
 // answer is no measure of the endpoint's speed.
-func (r *rollouts) recordAnswer(endpoint *route.Endpoint, routeName string, failed bool, took time.Duration) {
+func (r *rollouts) recordResponse(endpoint *route.Endpoint, routeName string, failed bool, took time.Duration) {
 	if r.activeCount.Load() == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a := r.active[endpoint.Service]; a != nil {
-		a.answers.Record(routeName, endpoint.Release == a.Order.Target, failed, took)
+		a.responses.Record(routeName, endpoint.Release == a.Order.Target, failed, took)
 	}
 }
 
@@ -235,7 +235,7 @@
 	if a == nil {
 		return nil
 	}
-	return peer.EncodeRolloutTally(a.Order.Version, a.answers.Tallies(), g.attempts.countOtherReleases(service, a.Order.Target))
+	return peer.EncodeRolloutTally(a.Order.Version, a.responses.Tallies(), g.attempts.countOtherReleases(service, a.Order.Target))
 }
 
 // proversToAsk returns the boxes that this one asks for their counts.
@@ -273,7 +273,7 @@
 
 // refresh updates the provers and the numbers of endpoints, and returns the roll-outs that this
 // box decides on.
-func (r *rollouts) refresh() (own []*activeRollout) {
+func (r *rollouts) refresh() (decided []*activeRollout) {
 	g := r.gateway
 	boxes := []string{g.Settings.Name}
 	g.fleet.EachLive(func(row *peer.Row) { boxes = append(boxes, row.Box) })
@@ -281,7 +281,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for service, a := range r.active {
-		a.countSides(directory.EndpointsOf(service))
+		a.countEndpoints(directory.EndpointsOf(service))
 		if a.isOver(time.Now()) {
 			continue
 		}
@@ -292,14 +292,14 @@
 			a.share = min(1, all*float64(len(boxes))/float64(len(a.provers)))
 		}
 		if a.isDecidedBy(g.Settings.Name) && directory != nil {
-			own = append(own, a)
+			decided = append(decided, a)
 		}
 	}
-	return own
+	return decided
 }
 
 // countSides counts the endpoints of both sides that admit requests.
-func (a *activeRollout) countSides(endpoints []route.Endpoint) {
+func (a *activeRollout) countEndpoints(endpoints []route.Endpoint) {
 	a.targets, a.others = 0, 0
 	for i := range endpoints {
 		switch {
@@ -351,7 +351,7 @@
 // evaluate decides by the counts of all provers. Running is this box's number of requests that
 // still run at other versions.
 func (a *activeRollout) evaluate(now time.Time, running int) rollout.Verdict {
-	counts := rollout.Counts{Routes: a.answers.Tallies(), OldRunning: running}
+	counts := rollout.Counts{Routes: a.responses.Tallies(), OldRunning: running}
 	for _, reported := range a.tallies {
 		counts.OldRunning += reported.OldRunning
 		for name, tally := range reported.Routes {
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -74,7 +74,7 @@
 }
 
 // heap returns the bytes of the heap that are in use after a garbage collection.
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	stats := runtime.MemStats{}
@@ -104,9 +104,9 @@
 // more. A pool of engines for each group took 12.8 MB with 10,000 endpoints.
 func TestBoxHoldsLittle(t *testing.T) {
 	Convey("A box keeps only a small row of each endpoint that it does not use", t, func() {
-		empty := heap()
+		empty := heapInUse()
 		g := newTestBox(t, manyEndpoints)
-		held := heap() - empty
+		held := heapInUse() - empty
 		runtime.KeepAlive(g)
 		t.Logf("%d bytes for %d endpoints", held, manyEndpoints)
 		So(held, ShouldBeLessThan, maxHeldBytes)
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -59,7 +59,7 @@
 	// lastStream is the highest number given to a stream; ownStream is the number of this box.
 	lastStream uint64
 	// leftAt is when each box last ended a stream on which it asked this one.
-	leftAt map[string]time.Time
+	streamEndedAt map[string]time.Time
 	// syncedIncarnation is the incarnation of the last dispatcher to which the cached parts
 	// were sent, so that a new stream to it need not send them again.
 	syncedIncarnation uint64
@@ -72,9 +72,9 @@
 	// remote is the stream to the dispatcher; nil if this box decides, and aloneSince is since
 	// when.
 	remote     *remote
-	aloneSince time.Time
+	localSince time.Time
 	// cold is this box's fraction of the requests that cold engines admit.
-	cold coldFraction
+	cachedCold cachedColdFraction
 	// opening is the stream that is being opened, if any.
 	opening *opening
 	// ranking orders the boxes that may dispatch; it was computed from candidates.
@@ -83,7 +83,7 @@
 	// suspects are the boxes that failed to respond, by name.
 	suspects map[string]suspicion
 	// floods bounds the requests that wait here of each customer beyond its share.
-	floods dispatch.BacklogLimiter
+	backlog dispatch.BacklogLimiter
 	// localRefusals is what this box refused without asking the dispatcher since the last
 	// report, by customer.
 	localRefusals map[string]*localRefusals
@@ -91,7 +91,7 @@
 	// prompts.
 	cachesKnown bool
 	// responses are the response times of dispatchers.
-	responses responseTimes
+	responseTimes responseTimes
 	// decidedAt is when the pool last decided.
 	decidedAt time.Time
 	// wake signals to runDecisions that requests wait. Capacity 1.
@@ -157,17 +157,17 @@
 
 			Ledger: &g.ledger,
 		},
-		pending:   map[string]*pending{},
-		running:   map[string]*grantedRequest{},
-		streams:   map[uint64]*incomingStream{},
-		leftAt:    map[string]time.Time{},
-		requested: dispatch.History{Window: rules.Window},
-		granted:   dispatch.History{Window: rules.Window},
-		boxHash:   xxhash.Sum64String(g.Settings.Name),
-		suspects:  map[string]suspicion{},
-		wake:      make(chan struct{}, 1),
+		pending:       map[string]*pending{},
+		running:       map[string]*grantedRequest{},
+		streams:       map[uint64]*incomingStream{},
+		streamEndedAt: map[string]time.Time{},
+		requested:     dispatch.History{Window: rules.Window},
+		granted:       dispatch.History{Window: rules.Window},
+		boxHash:       xxhash.Sum64String(g.Settings.Name),
+		suspects:      map[string]suspicion{},
+		wake:          make(chan struct{}, 1),
 
-		aloneSince: time.Now(),
+		localSince: time.Now(),
 	}
 	ctx, cancel := context.WithCancel(g.workContext)
 	s.cancel = cancel
@@ -205,7 +205,7 @@
 	now := time.Now()
 	s.pool.SetEndpoints(s.endpoints, now)
 	for _, one := range s.running {
-		s.pool.Adopt(one.ask, one.endpoint, one.begun, now)
+		s.pool.Adopt(one.req, one.endpoint, one.begun, now)
 	}
 	for _, rest := range s.gateway.rests.active(now) {
 		s.pool.SetRest(ownStream, rest, now)
@@ -213,7 +213,7 @@
 }
 
 // has reports whether an engine belongs to the group. The caller holds the lock.
-func (s *scheduler) has(engine string) bool {
+func (s *scheduler) hasEngine(engine string) bool {
 	return slices.ContainsFunc(s.endpoints, func(e route.Endpoint) bool { return e.ID == engine })
 }
 
@@ -241,7 +241,7 @@
 		s.remote.usedAt = now
 	case now.Sub(s.remote.usedAt) >= streamIdleTimeout:
 		s.remote.stream.Close()
-		s.remote, s.aloneSince = nil, now
+		s.remote, s.localSince = nil, now
 	}
 }
 
@@ -336,23 +336,23 @@
 
 // acquire waits until a request is granted an engine or refused. If alone is set, this box
 // decides without asking the dispatcher.
-func (s *scheduler) acquire(ctx context.Context, req *dispatch.Request, alone bool) (verdict, error) {
+func (s *scheduler) acquire(ctx context.Context, req *dispatch.Request, local bool) (verdict, error) {
 	req.Stream = ownStream
-	if why := s.enterQueue(req.Customer); why != dispatch.Admitted {
-		return s.refuseLocally(why, req), nil
+	if admission := s.enterQueue(req.Customer); admission != dispatch.Admitted {
+		return s.refuseLocally(admission, req), nil
 	}
 	s.mu.Lock()
-	s.recordAsk(req, time.Now())
+	s.recordRequest(req, time.Now())
 	s.mu.Unlock()
-	v, err := s.requestVerdict(ctx, req, alone)
+	v, err := s.requestVerdict(ctx, req, local)
 	s.leaveQueue(req.Customer, v)
 	return v, err
 }
 
 // requestVerdict obtains a verdict from the dispatcher, or else from this box's own pool.
-func (s *scheduler) requestVerdict(ctx context.Context, req *dispatch.Request, alone bool) (verdict, error) {
+func (s *scheduler) requestVerdict(ctx context.Context, req *dispatch.Request, local bool) (verdict, error) {
 	for range maxDispatchersAsked {
-		if alone {
+		if local {
 			break
 		}
 		box := s.dispatcher()
@@ -386,7 +386,7 @@
 	s.pending[req.ID] = p
 	s.preparePool()
 	if routers == 1 {
-		s.learnPromptCaches()
+		s.learnPrefixCaches()
 	}
 	s.pool.Submit(req, time.Now())
 	s.decide()
@@ -408,5 +408,5 @@
 	}
 	s.log.Info("this box dispatches now", zap.String("Service", s.groupName), zap.String("Before", s.remote.box))
 	s.remote.stream.Close()
-	s.remote, s.aloneSince = nil, time.Now()
+	s.remote, s.localSince = nil, time.Now()
 }
--- a/pkg/gateway/sessions_test.go
+++ b/pkg/gateway/sessions_test.go
@@ -27,8 +27,8 @@
 // the last one: until its stream has been idle, the check has found that, and the box is no
 // contact any more.
 const (
-	requestTakes = 800 * time.Millisecond
-	sessionStays = streamIdleTimeout + idleCheckInterval + 500*time.Millisecond
+	meanRequestTime = 800 * time.Millisecond
+	sessionTTL      = streamIdleTimeout + idleCheckInterval + 500*time.Millisecond
 )
 
 // newSessionFleet returns a fleet whose boxes each send perSecond requests.
@@ -54,48 +54,48 @@
 }
 
 // standing returns the sessions if each box keeps one to the first two boxes of each group.
-func (f *sessionFleet) standing() sessions {
+func (f *sessionFleet) persistent() sessions {
 	return sessions{asking: 2 * f.groups, dispatching: f.boxes - 1}
 }
 
 // onDemand returns the sessions if one is opened for a request and closed when idle.
-func (f *sessionFleet) onDemand() (most sessions) {
-	return f.play(func(_, group int) int { return f.dispatchers[group] })
+func (f *sessionFleet) onDemand() (peak sessions) {
+	return f.simulate(func(_, group int) int { return f.dispatchers[group] })
 }
 
 // throughZone returns the sessions if, for each group, one box of each availability zone,
 // selected by hash, asks on behalf of the others; it has a persistent session to the
 // dispatcher.
-func (f *sessionFleet) throughZone() (most sessions) {
+func (f *sessionFleet) throughZone() (peak sessions) {
 	const zones = 5
-	asks := func(zone, group int) int {
+	askerOf := func(zone, group int) int {
 		return int(partition.Hash(uint64(zone), uint64(group))%uint64(f.boxes/zones))*zones + zone
 	}
-	standing := map[int]int{}
+	persistent := map[int]int{}
 	for group, box := range f.dispatchers {
 		for zone := range zones {
-			standing[asks(zone, group)]++
+			persistent[askerOf(zone, group)]++
 		}
-		standing[box] += zones
+		persistent[box] += zones
 	}
-	most = f.play(func(from, group int) int { return asks(from%zones, group) })
-	for _, count := range standing {
-		most.dispatching = max(most.dispatching, count)
+	peak = f.simulate(func(from, group int) int { return askerOf(from%zones, group) })
+	for _, count := range persistent {
+		peak.dispatching = max(peak.dispatching, count)
 	}
-	return most
+	return peak
 }
 
 // play simulates random requests, each of which holds a session to the box that is asked for
 // its group.
-func (f *sessionFleet) play(asked func(from, group int) int) (most sessions) {
+func (f *sessionFleet) simulate(dispatcherOf func(from, group int) int) (peak sessions) {
 	const length, step = 20 * time.Second, 50 * time.Millisecond
 	until := map[[2]int]time.Duration{}
 	for passed := time.Duration(0); passed < length; passed += step {
 		for range poisson(f.draw, f.perSecond*float64(f.boxes)*step.Seconds()) {
 			from := f.draw.IntN(f.boxes)
-			to := asked(from, f.draw.IntN(f.groups))
-			takes := time.Duration(f.draw.ExpFloat64() * float64(requestTakes))
-			until[[2]int{from, to}] = max(until[[2]int{from, to}], passed+takes+sessionStays)
+			to := dispatcherOf(from, f.draw.IntN(f.groups))
+			takes := time.Duration(f.draw.ExpFloat64() * float64(meanRequestTime))
+			until[[2]int{from, to}] = max(until[[2]int{from, to}], passed+takes+sessionTTL)
 		}
 		out, in := make([]int, f.boxes), make([]int, f.boxes)
 		for pair, end := range until {
@@ -107,10 +107,10 @@
 			in[pair[1]]++
 		}
 		for i := range f.boxes {
-			most.asking, most.dispatching = max(most.asking, out[i]), max(most.dispatching, in[i])
+			peak.asking, peak.dispatching = max(peak.asking, out[i]), max(peak.dispatching, in[i])
 		}
 	}
-	return most
+	return peak
 }
 
 // poisson returns a random number of events with the given mean.
@@ -131,10 +131,10 @@
 	Convey("Sessions grow with the requests, not with the boxes or the groups", t, func() {
 		for _, boxes := range []int{300, 1000, 2000} {
 			f := newSessionFleet(boxes, fleetRate, uint64(boxes))
-			most := f.onDemand()
-			t.Logf("%d boxes, %d groups: standing %+v, on demand %+v, through a box of the zone %+v", boxes, f.groups, f.standing(), most, f.throughZone())
-			So(most.asking, ShouldBeLessThanOrEqualTo, maxAsking)
-			So(most.dispatching, ShouldBeLessThanOrEqualTo, maxDispatching)
+			peak := f.onDemand()
+			t.Logf("%d boxes, %d groups: standing %+v, on demand %+v, through a box of the zone %+v", boxes, f.groups, f.persistent(), peak, f.throughZone())
+			So(peak.asking, ShouldBeLessThanOrEqualTo, maxAsking)
+			So(peak.dispatching, ShouldBeLessThanOrEqualTo, maxDispatching)
 		}
 	})
 	Convey("More requests mean more sessions", t, func() {
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -70,7 +70,7 @@
 	// maxBodyBytes bounds the body of a request before the catalog is known.
 	maxBodyBytes = 8 << 20
 	// maxAnswerBytes bounds an answer that is buffered whole.
-	maxAnswerBytes = 8 << 20
+	maxResponseBytes = 8 << 20
 	// idleTimeout closes idle connections of callers. It is longer than callers keep
 	// connections for reuse, so that no request is sent while the connection is being closed.
 	idleTimeout = 60 * time.Second
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -16,9 +16,9 @@
 // ends normally only if the engine ended it; otherwise the connection to the caller is cut. Its
 // Close settles the request.
 type stream struct {
-	call  *call
-	to    destination
-	reply *endpoint.Response
+	call     *call
+	to       destination
+	response *endpoint.Response
 
 	// buffer holds what was read: buffer[:ready] can be forwarded, the rest is an incomplete
 	// event.
@@ -29,14 +29,14 @@
 	events    int
 	// sentAt is when the attempt began, firstAfter the age of the request at its first event,
 	// lastEventAt when the last event arrived, and maxPause the longest time between two.
-	sentAt      time.Time
+	grantedAt   time.Time
 	firstAfter  time.Duration
 	lastEventAt time.Time
-	maxPause    time.Duration
+	maxGap      time.Duration
 	// grant holds the predictions of the dispatcher.
-	grant verdict
-	whole bool
-	err   error
+	grant    verdict
+	complete bool
+	err      error
 	// settled is set once the current attempt is settled.
 	settled bool
 	closed  bool
@@ -51,7 +51,7 @@
 )
 
 // prime waits until there is something to forward. If it fails, nothing has been delivered.
-func (s *stream) prime() error {
+func (s *stream) awaitEvent() error {
 	for s.ready == 0 && s.err == nil {
 		s.fill()
 	}
@@ -69,11 +69,11 @@
 			continue
 		}
 		if errors.Is(s.err, io.EOF) {
-			s.whole = true
+			s.complete = true
 			return 0, io.EOF
 		}
 		broken := s.err
-		s.reply.Close()
+		s.response.Close()
 		if err := s.resume(broken); err != nil {
 			s.settled = true
 			return 0, broken
@@ -100,7 +100,7 @@
 		copy(grown, s.buffer)
 		s.buffer = grown
 	}
-	n, err := s.reply.Read(s.buffer[len(s.buffer):cap(s.buffer)])
+	n, err := s.response.Read(s.buffer[len(s.buffer):cap(s.buffer)])
 	s.buffer = s.buffer[:len(s.buffer)+n]
 	before := s.events
 	s.scan()
@@ -118,20 +118,20 @@
 	if s.lastEventAt.IsZero() {
 		s.firstAfter = now.Sub(s.call.arrived)
 	} else {
-		s.maxPause = max(s.maxPause, now.Sub(s.lastEventAt))
+		s.maxGap = max(s.maxGap, now.Sub(s.lastEventAt))
 	}
 	s.lastEventAt = now
-	s.call.guard.extend(s.call.pauseStallTimeout())
+	s.call.guard.reset(s.call.gapStallTimeout())
 }
 
 // isLate reports whether the stream missed a latency target of its route.
 func (s *stream) isLate() bool {
 	r := s.call.route
-	return (r.LatencyTarget > 0 && s.firstAfter > r.LatencyTarget) || (r.GapTarget > 0 && s.maxPause > r.GapTarget)
+	return (r.LatencyTarget > 0 && s.firstAfter > r.LatencyTarget) || (r.GapTarget > 0 && s.maxGap > r.GapTarget)
 }
 
 // logSettled logs whole answers: all late ones, and a sample of the others.
-func (s *stream) logSettled() {
+func (s *stream) logCompleted() {
 	c := s.call
 	late := s.isLate()
 	if !late && !isSampled(c.ID) {
@@ -144,11 +144,11 @@
 		zap.String("Endpoint", s.to.ID),
 		zap.Bool("Late", late),
 		zap.Duration("FirstAfter", s.firstAfter),
-		zap.Duration("GrantedAfter", s.sentAt.Sub(c.arrived)),
+		zap.Duration("GrantedAfter", s.grantedAt.Sub(c.arrived)),
 		zap.Duration("Wait", s.grant.wait),
 		zap.Duration("Read", s.grant.readTime),
 		zap.Int("Missing", s.grant.missingTokens),
-		zap.Duration("Pause", s.maxPause),
+		zap.Duration("Pause", s.maxGap),
 		zap.Int("Events", s.events),
 		zap.Duration("Age", time.Since(c.arrived)))
 }
@@ -179,13 +179,13 @@
 
 // recordRollout counts a stream that ended for the roll-out of its service, with the mean time
 // between two events as its speed.
-func (s *stream) recordRollout(how outcome) {
+func (s *stream) recordRollout(result outcome) {
 	c := s.call
 	switch {
-	case how.isFailure():
-		c.gateway.rollouts.recordAnswer(&s.to.Endpoint, c.route.Name, true, 0)
-	case s.whole && s.events > 0:
-		c.gateway.rollouts.recordAnswer(&s.to.Endpoint, c.route.Name, false, s.lastEventAt.Sub(s.sentAt)/time.Duration(s.events))
+	case result.isFailure():
+		c.gateway.rollouts.recordResponse(&s.to.Endpoint, c.route.Name, true, 0)
+	case s.complete && s.events > 0:
+		c.gateway.rollouts.recordResponse(&s.to.Endpoint, c.route.Name, false, s.lastEventAt.Sub(s.grantedAt)/time.Duration(s.events))
 	}
 }
 
@@ -197,21 +197,21 @@
 	s.closed = true
 	c := s.call
 	defer c.finish()
-	s.reply.Close()
-	gone := errors.Is(contextCause(c), errCallerGone)
+	s.response.Close()
+	callerGone := errors.Is(contextCause(c), errCallerGone)
 	if !s.settled {
-		how := outcomeUnknown
-		if !s.whole && c.ctx.Err() == nil && s.err != nil {
-			how = c.classifyBroken(s.to, s.err)
+		result := outcomeUnknown
+		if !s.complete && c.ctx.Err() == nil && s.err != nil {
+			result = c.recordBroken(s.to, s.err)
 		}
-		s.to.finish(how)
-		s.recordRollout(how)
+		s.to.finish(result)
+		s.recordRollout(result)
 	}
-	if s.whole {
-		c.clearFingerprint(s.reply)
-		_ = c.life.Advance(request.Settled)
-		c.gateway.Metrics.Answered(c.customer, c.route.Name, time.Since(c.arrived))
-		s.logSettled()
+	if s.complete {
+		c.clearFingerprint(s.response)
+		_ = c.lifecycle.Advance(request.Settled)
+		c.gateway.Metrics.Completed(c.customer, c.route.Name, time.Since(c.arrived))
+		s.logCompleted()
 		return nil
 	}
 	c.gateway.Metrics.Cut(c.service.Name)
@@ -222,7 +222,7 @@
 		zap.String("Route", c.route.Name),
 		zap.String("Endpoint", s.to.ID),
 		zap.Int("Events", s.events),
-		zap.Bool("CallerGone", gone),
+		zap.Bool("CallerGone", callerGone),
 		zap.Duration("Age", time.Since(c.arrived)),
 		zap.NamedError("Cause", contextCause(c)),
 		zap.Error(s.err))
--- a/pkg/gateway/suspicion.go
+++ b/pkg/gateway/suspicion.go
@@ -71,7 +71,7 @@
 		zap.String("Service", s.groupName),
 		zap.String("Box", box),
 		zap.Duration("For", next.duration),
-		zap.Duration("Words", s.responses.mean),
+		zap.Duration("Words", s.responseTimes.mean),
 		zap.Error(err))
 }
 
