--- a/pkg/dispatch/backlog_limiter.go
+++ b/pkg/dispatch/backlog_limiter.go
@@ -25,8 +25,8 @@
 	// maxWaitingBusy is the bound at an overloaded router, for any customer. Fewer wait there,
 	// and a refused request can be retried at another router within its latency target.
 	maxWaitingBusy = 8
-	// overShareTTL is how long a customer is assumed to be over its share after a refusal that
-	// said so. Shares are counted over seconds.
+	// overShareTTL is how long a customer is assumed to be over its share after a refusal for that
+	// reason. Shares are counted over seconds.
 	overShareTTL = 500 * time.Millisecond
 	// maxTrackedCustomers is the number of customers from which on those without waiting
 	// requests are evicted.
@@ -46,8 +46,8 @@
 	RefusedBusy
 )
 
-// Enter records a waiting request, unless it has to be refused. busy reports whether this router
-// is overloaded.
+// Enter records a waiting request, unless it has to be refused. busy is set if this router is
+// overloaded.
 func (l *BacklogLimiter) Enter(customer string, busy bool, now time.Time) Admission {
 	admission := l.Check(customer, busy, now)
 	if admission != Admitted {
--- a/pkg/dispatch/cache.go
+++ b/pkg/dispatch/cache.go
@@ -34,8 +34,8 @@
 // parts than that.
 const maxCachedParts = 128
 
-// CachedParts returns the estimated contents of the engines' prefix caches, for a box that takes
-// over. Short parts are left out.
+// CachedParts returns the estimated contents of the engines' prefix caches, for a new
+// dispatcher. Short parts are left out.
 func (p *Pool) CachedParts() (all []CachedParts) {
 	for _, e := range p.sorted {
 		cached := CachedParts{Endpoint: e.ID, Born: e.Born}
--- a/pkg/dispatch/crash_test.go
+++ b/pkg/dispatch/crash_test.go
@@ -15,17 +15,16 @@
 )
 
 // One request ended eleven engines in a row: it was repeated at any box, with another ID each
-// time, and each of its runs broke some thirty streams of others. Nothing learned from one run
-// outlived it.
+// time, and each of its runs broke some thirty streams of others. No record of a run outlived it.
 
-// deadlySimulation is a pool in which certain requests end their engine some time after they
+// crashSimulation is a pool in which crashing requests end their engine some time after they
 // began, with all requests that run there. The engine restarts under another ID.
 type crashSimulation struct {
 	*simulation
 	// ledgers are those of the boxes, which run a router each; a box sees its own requests only.
 	ledgers []*quarantine.Ledger
-	// shared makes all boxes share the ends that they saw. Otherwise only the dispatching box
-	// knows them, from its routers' reports.
+	// shared makes all boxes share the ends that they recorded. Otherwise only the dispatcher has
+	// them, from its routers' reports.
 	shared bool
 	// bounded passes fingerprints to the pool. Otherwise only the boxes check incoming requests.
 	bounded bool
@@ -37,7 +36,7 @@
 	// down are the engines that ended and are still listed; starts counts restarts.
 	down   map[string]bool
 	starts int
-	// ends and sends count, by fingerprint, the engines that ended and the grants of deadly
+	// ends and sends count, by fingerprint, the engines that ended and the grants of crashing
 	// requests; lost counts the other requests that broke with an engine.
 	ends, sends map[quarantine.Fingerprint]int
 	lost        int
@@ -45,11 +44,11 @@
 	refusedInnocent int
 }
 
-// deadlyRequest is a request and the box that received it.
+// crashRequest is a request and the box that received it.
 type crashRequest struct {
 	*Request
 	box int
-	// kills makes the request end its engine.
+	// crashesEngine makes the request end its engine.
 	crashesEngine bool
 	// repeats is how often it may still be repeated after a break.
 	repeats int
@@ -57,7 +56,7 @@
 }
 
 const (
-	// crashDelay is the time from the beginning of a deadly request to the end of its engine,
+	// crashDelay is the time from the beginning of a crashing request to the end of its engine,
 	// and restartDelay from there to the engine's restart.
 	crashDelay   = 20 * time.Millisecond
 	restartDelay = 3 * time.Second
@@ -107,7 +106,7 @@
 	return number
 }
 
-// sendDeadly sends one deadly request repeatedly at the given times, to any box.
+// sendCrashing sends one crashing request repeatedly at the given times, to any box.
 func (s *crashSimulation) sendCrashing(body string, times ...time.Duration) {
 	from := &source{customer: "one", route: "chat", latencyTarget: 600 * time.Millisecond, shared: 350, own: 900, sharedParts: 3, output: 50}
 	for i, after := range times {
@@ -222,10 +221,10 @@
 	if req.repeats == 0 {
 		return
 	}
-	again := *req.Request
-	again.ID, again.Arrived = req.ID+"r", s.now.Add(5*time.Millisecond)
-	next := &crashRequest{Request: &again, box: req.box, repeats: req.repeats - 1}
-	s.at(again.Arrived, func() { s.receive(next) })
+	retried := *req.Request
+	retried.ID, retried.Arrived = req.ID+"r", s.now.Add(5*time.Millisecond)
+	next := &crashRequest{Request: &retried, box: req.box, repeats: req.repeats - 1}
+	s.at(retried.Arrived, func() { s.receive(next) })
 }
 
 // replace restarts an engine under another ID.
@@ -257,8 +256,8 @@
 	}
 }
 
-// failBoxes kills the dispatching box and some others. The first box left takes over; it
-// receives what runs, and what each router saw where boxes do not share it.
+// failBoxes kills the dispatcher and some other boxes. The first box left takes over. It receives
+// the running requests, and the ends that each router recorded, which boxes may not share.
 func (s *crashSimulation) failBoxes(count int) {
 	for box := range s.ledgers {
 		if !s.dead[box] && count > 0 && len(s.dead) < len(s.ledgers)-1 {
@@ -336,26 +335,26 @@
 // one in use.
 type protection struct {
 	name string
-	// shared makes all boxes share the ends that they saw; bounded makes the pool bound the
+	// shared makes all boxes share the ends that they recorded; bounded makes the pool bound the
 	// engines that may end.
 	shared, bounded bool
 }
 
-// deadlyOutcome sums up random fleets.
+// crashOutcome sums up random fleets.
 type crashOutcome struct {
 	requests, ends, most, lost, refused, innocents int
 }
 
-// playDeadly runs a fleet drawn from a seed: repeats arrive separately or together, and boxes
-// fail twice, the dispatching box among them.
+// playCrashes runs a fleet drawn from a seed: repeats arrive separately or together, and boxes
+// fail twice, the dispatcher among them.
 func playCrashes(protection protection, seed uint64, out *crashOutcome) {
 	draw := rand.New(rand.NewPCG(seed, 2))
 	engines := 3 + draw.IntN(10)
 	s := newCrashSimulation(engines, 8, seed)
 	s.shared = protection.shared
 	out.innocents += s.sendInnocents(float64(engines)*10, 20*time.Second, 0.2)
-	deadly := 1 + draw.IntN(2)
-	for i := range deadly {
+	count := 1 + draw.IntN(2)
+	for i := range count {
 		s.sendCrashing(fmt.Sprint("body", i), times(draw, 25, time.Duration(100+draw.IntN(1500))*time.Millisecond)...)
 	}
 	s.bounded = protection.bounded
@@ -363,7 +362,7 @@
 		s.at(s.now.Add(time.Duration(1+draw.IntN(15000))*time.Millisecond), func() { s.failBoxes(3) })
 	}
 	s.until(s.now.Add(time.Hour))
-	out.requests += deadly
+	out.requests += count
 	out.most = max(out.most, s.maxEnds())
 	for _, count := range s.ends {
 		out.ends += count
--- a/pkg/dispatch/decide.go
+++ b/pkg/dispatch/decide.go
@@ -71,6 +71,7 @@
 	return &Grant{Request: req, Endpoint: e.ID, Wait: wait, ReadTime: e.readTime(tokens), MissingTokens: shared}
 }
 
+// addGrant records a grant in the pool, at the engine and in the usage of the customer.
 func (p *Pool) addGrant(req *Request, e *engine, now time.Time) *grant {
 	tokens, _ := e.missingTokens(&req.Prompt)
 	g := &grant{req: req, engine: e, tokens: tokens, at: now}
@@ -103,7 +104,7 @@
 	return decisions
 }
 
-// refuse removes a request from its queue and says when to retry.
+// refuse removes a request from its queue, and returns the refusal with the time to retry.
 func (p *Pool) refuse(a *account, req *Request, now time.Time) Refusal {
 	isOver := p.isOverShare(a, req)
 	queued := p.queued
--- a/pkg/dispatch/eligible.go
+++ b/pkg/dispatch/eligible.go
@@ -7,9 +7,8 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// SetRest records that an engine asked a router to send it nothing for a while. This says
-// nothing about the engine's health: other routers may send to it. It reports whether that is a
-// change.
+// SetRest records that an engine asked a router to send it nothing for a while. The engine
+// is not ejected: other routers may send to it. It reports whether the engine now rests longer.
 func (p *Pool) SetRest(stream uint64, rest lifecycle.Rest, now time.Time) bool {
 	if p.engines[rest.Endpoint] == nil {
 		return false
--- a/pkg/dispatch/endpoints.go
+++ b/pkg/dispatch/endpoints.go
@@ -10,8 +10,8 @@
 )
 
 // SetEndpoints replaces the set of engines. Removed engines get no new requests; those that run
-// there end as their router reports. An endpoint with a later start is another engine, and the
-// state of the previous one is dropped.
+// there end when their router reports it. A later instance of an endpoint is another engine, and
+// the state of the previous one is dropped.
 func (p *Pool) SetEndpoints(endpoints []route.Endpoint, now time.Time) {
 	initial := len(p.engines) == 0
 	engines := make(map[string]*engine, len(endpoints))
@@ -49,7 +49,8 @@
 	}
 }
 
-// sortEngines updates what depends on the set of engines.
+// updateEngineOrder updates sorted, and drops the rankings of engines by part, which are computed
+// again when they are needed.
 func (p *Pool) updateEngineOrder() {
 	p.sorted = p.sorted[:0]
 	for _, e := range p.engines {
@@ -61,9 +62,9 @@
 	}
 }
 
-// engineAtStart returns the engine that a report about one instance of an endpoint concerns; nil
-// if there is none, or if that instance is over. A later instance than the known one replaces it
-// here. born is 0 if the report does not name the instance.
+// engineOfInstance returns the engine for a report about one instance of an endpoint; nil if there
+// is no such endpoint, or a later instance of it is known. If the known instance is earlier, it is
+// replaced. born is 0 if the report does not name the instance.
 func (p *Pool) engineOfInstance(id string, born int64, now time.Time) *engine {
 	e := p.engines[id]
 	if e == nil {
--- a/pkg/dispatch/engine.go
+++ b/pkg/dispatch/engine.go
@@ -16,7 +16,7 @@
 	route.Endpoint
 	// hash is the hash of its ID.
 	hash uint64
-	// life decides whether and how much may be sent; coldBound limits this while the engine is
+	// state decides whether and how much may be sent; coldBound limits this while the engine is
 	// cold.
 	state         lifecycle.State
 	coldBound     lifecycle.Bound
@@ -54,7 +54,7 @@
 	failedAt time.Time
 	// consecutiveFailures lengthen the ejection.
 	consecutiveFailures int
-	// consecutiveBroken counts broken answers without a first token between them.
+	// consecutiveBroken counts broken responses without a first token between them.
 	consecutiveBroken int
 	// suspects are the fingerprints of requests running here under which engines ended, with the
 	// number of these engines.
@@ -100,10 +100,10 @@
 	// failure, up to maxEjection.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 4 * time.Second
-	// maxConsecutiveBroken is the number of consecutive broken answers that counts as a crash.
+	// maxConsecutiveBroken is the number of consecutive broken responses that count as a crash.
 	maxConsecutiveBroken = 3
-	// stallTimeout is the time beyond the predicted first token after which an engine that began
-	// nothing since is considered stalled.
+	// stallTimeout is the time beyond the predicted first token after which an engine at which no
+	// request has begun since is considered stalled.
 	stallTimeout = 800 * time.Millisecond
 )
 
@@ -156,7 +156,7 @@
 	return max(0, reading-progress)
 }
 
-// isStalled reports whether the engine began nothing for far longer than predicted.
+// isStalled reports whether no request has begun at the engine for far longer than predicted.
 func (e *engine) isStalled(now time.Time) bool {
 	if len(e.pending) == 0 {
 		return false
@@ -293,7 +293,7 @@
 	case Unreachable:
 		e.recordFailure(now)
 	case Broken, Ended:
-		// One broken answer says little, and sending the engine's prompts elsewhere would cost
+		// One broken response says little, and sending the engine's prompts elsewhere would cost
 		// far more. A crash breaks many at once.
 		if e.consecutiveBroken++; e.consecutiveBroken >= maxConsecutiveBroken {
 			e.recordFailure(now)
--- a/pkg/dispatch/engine_test.go
+++ b/pkg/dispatch/engine_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestEngine(t *testing.T) {
-	Convey("Single broken answers between others that begin do not eject an engine", t, func() {
+	Convey("Single broken responses between others that begin do not eject an engine", t, func() {
 		e := newTestEngine()
 		for i := range 10 {
 			now := start.Add(time.Duration(i) * time.Second)
@@ -46,7 +46,7 @@
 			e.begin(grantAt(e, "well", now, Part{ID: 1, Tokens: 100}), now.Add(100*time.Millisecond))
 		}
 	})
-	Convey("Consecutive broken answers eject it like a crash", t, func() {
+	Convey("Consecutive broken responses eject it like a crash", t, func() {
 		e := newTestEngine()
 		for range maxConsecutiveBroken {
 			e.finish(grantAt(e, "lost", start, Part{ID: 1, Tokens: 100}), Broken{}, start)
@@ -58,10 +58,10 @@
 		e := newTestEngine()
 		e.finish(grantAt(e, "1", start), Unreachable{}, start)
 		So(e.isUsable(start.Add(minEjection-time.Millisecond)), ShouldBeFalse)
-		again := start.Add(time.Second)
-		e.finish(grantAt(e, "2", again), Unreachable{}, again)
-		So(e.isUsable(again.Add(2*minEjection-time.Millisecond)), ShouldBeFalse)
-		So(e.isUsable(again.Add(2*minEjection+time.Millisecond)), ShouldBeTrue)
+		secondFailure := start.Add(time.Second)
+		e.finish(grantAt(e, "2", secondFailure), Unreachable{}, secondFailure)
+		So(e.isUsable(secondFailure.Add(2*minEjection-time.Millisecond)), ShouldBeFalse)
+		So(e.isUsable(secondFailure.Add(2*minEjection+time.Millisecond)), ShouldBeTrue)
 	})
 	Convey("A part behind one that is not cached has to be read again", t, func() {
 		e := newTestEngine()
@@ -116,8 +116,8 @@
 	})
 }
 
-// TestPace checks that a pool learns an engine's speed within about 40 requests to it, to a
-// factor of 0.55 to 1.5, whatever it assumed at first.
+// TestPace checks that the estimated speed of an engine is within a factor of 0.55 to 1.5 of the
+// real one after about 40 requests to it, whatever was assumed at first.
 func TestPace(t *testing.T) {
 	for _, rate := range []float64{15000, 45000, 110000, 330000} {
 		for _, lag := range []time.Duration{15 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
--- a/pkg/dispatch/exposure.go
+++ b/pkg/dispatch/exposure.go
@@ -49,11 +49,11 @@
 // box counted them, boxes that dispatched at the same time or one after the other ended three
 // each (TestMostEndsUnderChange).
 //
-// A box may choose any engine for a request only if it alone dispatches, and nothing is known of
-// the request yet. Otherwise the request joins the engines that run it already, or goes to the
-// engine that its fingerprint ranks first, which boxes find alike without knowing of each other.
-// So no more than three engines end even if two boxes both consider themselves the only
-// dispatcher.
+// A box may choose any engine for a request only if it alone dispatches, no engine runs the
+// request, and none is known to have ended under it. Otherwise the request goes to an engine that
+// runs it already, or to the one that its fingerprint ranks first, which is the same at all boxes
+// without coordination. So no more than three engines end even if two boxes both consider
+// themselves the only dispatcher.
 type placementScope struct {
 	// anyEngine is set if the request may go to any engine. Otherwise it may go to the engines
 	// that run it, in exposed, and to preferred.
@@ -87,15 +87,15 @@
 	return scope
 }
 
-// endReportDelay is the longest time after an engine's failure in which another box's report may
-// arrive that the engine ended under its request.
+// maxEndReportDelay is the longest time after an engine's failure in which another box's report
+// may arrive that the engine ended under its request.
 const maxEndReportDelay = 100 * time.Millisecond
 
 // preferredEngine returns the engine that a request's fingerprint ranks first among those that
-// may serve it. All boxes that know the same engines find the same one, whatever else they know.
-// An engine that ended under the request or cannot take it is skipped. One that failed less than
-// endReportDelay ago still counts, and the result is nil if it ranks first: a report that it
-// ended under the request may be on its way.
+// may serve it. Boxes with the same list of engines find the same one, whatever else differs
+// between them. An engine that ended under the request is skipped, and so is one that cannot
+// take it, unless it failed less than maxEndReportDelay ago. If such an engine ranks first, the
+// result is nil: a report that it ended under the request may be on its way.
 func (p *Pool) preferredEngine(req *Request, ends int, now time.Time) *engine {
 	var preferred *engine
 	var weight uint64
@@ -126,7 +126,7 @@
 	return xxhash.Sum64(key[:])
 }
 
-// instance returns the instance of the engine that the pool knows.
+// instance identifies the current instance of the engine.
 func (e *engine) instance() quarantine.Instance {
 	return quarantine.InstanceOf(e.Service, e.ID, e.Born)
 }
@@ -157,8 +157,8 @@
 	return !req.Fingerprint.IsZero() && p.Ledger.Check(req.Fingerprint, now).IsQuarantined()
 }
 
-// recordEnd records a router's report that an engine ended while it ran a request. Wherever else
-// the request runs, it is a suspect now.
+// recordEnd records a router's report that an engine ended while it ran a request. At the other
+// engines that run the request, it is a suspect from then on.
 func (p *Pool) recordEnd(ended Ended, now time.Time) {
 	p.Ledger.Merge([]quarantine.End{ended.End}, "", now)
 	f := ended.End.Fingerprint
--- a/pkg/dispatch/fairness_test.go
+++ b/pkg/dispatch/fairness_test.go
@@ -44,7 +44,7 @@
 // scenario is a fleet with two customers over their share, and others.
 type scenario struct {
 	engines int
-	// first and second are the demands of the two customers and rest that of all others
+	// first and second are the demands of the two customers, and others that of all others
 	// together, in tokens per second and engine.
 	first, second, others float64
 	// routers is the number of routers to which the first customer's callers come; the second's
@@ -174,8 +174,8 @@
 // TestLeastServedFirst runs random fleets of customers that request 0.2 to 100 times their
 // share. Over any six seconds in each of which a customer is refused a request, it has to get at
 // least 0.6 of the smaller of what it requested and what the most served customer got. The last
-// seeds are those of the first sixty in which a customer got least, 0.58 to 0.68, when a box
-// that took over knew only the running requests.
+// seeds are those of the first sixty in which a customer got least, 0.58 to 0.68, when a new
+// dispatcher received only the running requests.
 func TestLeastServedFirst(t *testing.T) {
 	const length = 10 * time.Second
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 11, 16, 29, 31, 34, 39, 43, 54, 59} {
@@ -184,17 +184,17 @@
 			So(d.play(length).findUnfair(0.6), ShouldBeEmpty)
 		})
 	}
-	// In the first second nothing is known of any customer, so the one that requests most gets
-	// most. Here the dispatching box changes at the end of that second: 0.58.
+	// In the first second there is no history of any customer, so the one that requests most gets
+	// most. Here the dispatcher changes at the end of that second: 0.58.
 	const changed = 45
 	d := drawFleet(rand.New(rand.NewPCG(changed, 11)))
-	Convey(fmt.Sprintf("Nor less than half if the dispatching box changes a second after the start: %+v", d), t, func() {
+	Convey(fmt.Sprintf("Nor less than half if the dispatcher changes a second after the start: %+v", d), t, func() {
 		So(d.play(length).findUnfair(0.5), ShouldBeEmpty)
 	})
 }
 
-// TestHistory checks that a box that takes over learns what customers were granted by the box
-// before, each grant once.
+// TestHistory checks that a new dispatcher receives what customers were granted by the previous
+// one, each grant once.
 func TestHistory(t *testing.T) {
 	Convey("Grants within the window are reported, except running and refunded ones", t, func() {
 		h := History{Window: 4 * time.Second}
--- a/pkg/dispatch/fleet_simulation_test.go
+++ b/pkg/dispatch/fleet_simulation_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// fleetSimulation adds routers, and callers who retry once, to a simulated pool. A pool that
-// takes over learns what runs, and waiting requests are submitted to it again.
+// fleetSimulation adds routers, and callers who retry once, to a simulated pool. A pool that takes
+// over receives the running requests, and waiting ones are submitted to it again.
 type fleetSimulation struct {
 	*simulation
 	routers   []BacklogLimiter
@@ -120,9 +120,9 @@
 	if req.isRetry {
 		return
 	}
-	again := *req.Request
-	again.ID, again.Arrived = req.ID+"again", f.now.Add(retryAfter)
-	f.at(again.Arrived, func() { f.receive(&fleetRequest{Request: &again, router: req.router, isRetry: true}) })
+	retried := *req.Request
+	retried.ID, retried.Arrived = req.ID+"again", f.now.Add(retryAfter)
+	f.at(retried.Arrived, func() { f.receive(&fleetRequest{Request: &retried, router: req.router, isRetry: true}) })
 }
 
 func (f *fleetSimulation) decide() {
@@ -158,7 +158,7 @@
 	})
 }
 
-// takeOver replaces the pool by another one, which receives what runs and what waits.
+// takeOver replaces the pool by another one, which receives the running and waiting requests.
 func (f *fleetSimulation) takeOver() {
 	before := f.pool
 	f.pool = &Pool{Rules: before.Rules, Rand: before.Rand, Warm: true}
@@ -183,8 +183,8 @@
 	}
 }
 
-// unfair describes the first six seconds in each of which a customer was refused and in which it
-// got less than a fraction of what was due to it: second by second, the smaller of what it
+// findUnfair describes the first six seconds in each of which a customer was refused and in which
+// it got less than a fraction of what was due to it: second by second, the smaller of what it
 // requested and what the most served customer got. It returns "" if there are none.
 func (f *fleetSimulation) findUnfair(fraction float64) string {
 	const span = 6
--- a/pkg/dispatch/groups_test.go
+++ b/pkg/dispatch/groups_test.go
@@ -16,8 +16,8 @@
 		groups, engines = 2, 30
 		wide            = 4
 		length          = 8 * time.Second
-		// least is the minimum that a customer has to get, as a fraction of the smaller of what
-		// it requested and what the most served customer got.
+		// minFraction is the minimum that a customer has to get, as a fraction of the smaller of
+		// what it requested and what the most served customer got.
 		minFraction = 0.6
 	)
 	Convey("A customer whose prompts go to one group gets what others get over all groups", t, func() {
--- a/pkg/dispatch/handover_test.go
+++ b/pkg/dispatch/handover_test.go
@@ -14,9 +14,8 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// leadersSimulation has boxes that change the box which dispatches for them. Each has a pool
-// with its own record of running requests and its own ledger, and receives updates of the others
-// with a delay.
+// handoverSimulation has boxes that switch to another dispatcher. Each has a pool with its own
+// record of running requests and its own ledger, and receives updates of the others with a delay.
 type handoverSimulation struct {
 	*simulation
 	boxes []*handoverBox
@@ -27,11 +26,11 @@
 	// arrived is when the last message from one box to another arrived.
 	arrived map[[2]int]time.Time
 	// ends counts the engines that ended, by fingerprint. lost counts the other requests that
-	// broke with an engine, served those that were answered, and refused those that were
-	// refused.
+	// broke with an engine, served those that ended with a complete response, and refused
+	// those that were refused.
 	ends                  map[quarantine.Fingerprint]int
 	lost, served, refused int
-	// killAfter is the time from the beginning of a deadly request to the end of its engine.
+	// killAfter is the time from the beginning of a crashing request to the end of its engine.
 	killAfter time.Duration
 }
 
@@ -41,8 +40,8 @@
 	ledger *quarantine.Ledger
 	// dispatcher is the number of the box that dispatches for this one.
 	dispatcher int
-	// gone is set once the box is gone, and stops once it stops; knowsGone are the other boxes
-	// that it knows to be gone or stopping.
+	// gone is set once the box is gone, and stopping once it begins to stop; knownGone are the
+	// other boxes that it has found to be gone or stopping.
 	gone, stopping bool
 	knownGone      map[int]bool
 	// waiting and running are its requests by ID.
@@ -85,7 +84,7 @@
 	return s
 }
 
-// ranksFirst reports whether a box is the dispatcher, by what it knows of the others.
+// ranksFirst reports whether a box is the dispatcher, from its own view of the others.
 func (b *handoverBox) ranksFirst() bool {
 	for number := range b.number {
 		if !b.knownGone[number] {
@@ -144,8 +143,8 @@
 	s.send(of, number, func(p *Pool) { p.Submit(&sent, s.now) })
 }
 
-// send passes a call to a dispatcher's pool, unless the sending box has another dispatcher by
-// the time it arrives.
+// send makes a call to a dispatcher's pool after a delay, unless the sending box has another
+// dispatcher by then.
 func (s *handoverSimulation) send(of *handoverBox, number int, do func(*Pool)) {
 	to := s.boxes[number]
 	if to == of {
@@ -241,7 +240,7 @@
 	s.running[req.engine] = slices.DeleteFunc(s.running[req.engine], func(other *handoverRequest) bool { return other == req })
 }
 
-// report passes a call to a box's own pool and to its dispatcher's.
+// report makes a call to a box's own pool and to its dispatcher's.
 func (s *handoverSimulation) report(b *handoverBox, do func(*Pool)) {
 	if b.gone {
 		return
@@ -257,7 +256,7 @@
 	s.report(req.box, func(p *Pool) { p.End(req.ID, outcome, s.now) })
 }
 
-// crash ends the engine of a deadly request, with all requests that run there.
+// crash ends the engine of a crashing request, with all requests that run there.
 func (s *handoverSimulation) crash(by *handoverRequest) {
 	if by.ended {
 		return
@@ -286,7 +285,7 @@
 	s.after(time.Second, func() { s.replace(engine, back) })
 }
 
-// shareEnds sends the ends that one box knows to the others.
+// shareEnds sends the ends in one box's ledger to the others.
 func (s *handoverSimulation) shareEnds(from *handoverBox) {
 	ends, _ := from.ledger.EndsSince(0, "", s.now)
 	for _, other := range s.boxes {
@@ -296,7 +295,7 @@
 	}
 }
 
-// replace restarts an engine under another ID; boxes learn it at different times.
+// replace restarts an engine under another ID; boxes receive that at different times.
 func (s *handoverSimulation) replace(engine, back string) {
 	for _, b := range s.boxes {
 		s.after(s.hop(), func() {
@@ -382,7 +381,7 @@
 	return number
 }
 
-// sendWaves sends repeats of one deadly request to all boxes at once, several times.
+// sendWaves sends repeats of one crashing request to all boxes at once, several times.
 func (s *handoverSimulation) sendWaves(body string, from, gap time.Duration, count, each int) {
 	// Repeats may differ in the parts that they report for their prompt, long ones included.
 	shared := 350
@@ -409,7 +408,7 @@
 	return most
 }
 
-// playLeaders runs a fleet drawn from a seed, with one change of the dispatcher while repeats
+// playHandover runs a fleet drawn from a seed, with one change of the dispatcher while repeats
 // arrive.
 func playHandover(seed uint64) (*handoverSimulation, string) {
 	draw := rand.New(rand.NewPCG(seed, 6))
--- a/pkg/dispatch/history.go
+++ b/pkg/dispatch/history.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// History is what the requests of one router were recently granted. A router reports it to a box
-// that takes over. That box would otherwise know only the running requests, and the customers
-// served most would be first in turn again: in random fleets with a change of the dispatching
-// box, customers got down to 0.58 of what was due to them. It is not safe for concurrent use.
+// History records what the requests of one router were recently granted. The router reports it to
+// a new dispatcher. That would otherwise see only the running requests, and the customers served
+// most would be first in turn again: in random fleets with a change of the dispatcher, customers
+// got down to 0.58 of what was due to them. It is not safe for concurrent use.
 type History struct {
 	// Window is the time over which grants count.
 	Window time.Duration
@@ -31,7 +31,7 @@
 // Grant records a granted request.
 func (h *History) Grant(req *Request, now time.Time) { h.add(req, 1, now) }
 
-// Refund takes back a grant from which the customer got nothing.
+// Refund subtracts a grant for which the customer got nothing.
 func (h *History) Refund(req *Request, now time.Time) { h.add(req, -1, now) }
 
 func (h *History) add(req *Request, factor float64, now time.Time) {
@@ -56,8 +56,8 @@
 	return granted
 }
 
-// Report returns, in a fixed order, what to report to a box that also receives the running
-// requests, whose grants are left out.
+// Report returns, in a fixed order, what to report to a new dispatcher. The grants of running
+// requests are left out, as it receives these too.
 func (h *History) Report(running []*Request, now time.Time) (totals []GrantTotal) {
 	left := map[historyKey]float64{}
 	for key, sum := range h.sums {
--- a/pkg/dispatch/other_groups.go
+++ b/pkg/dispatch/other_groups.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// OtherGroupUsage is what one router's requests of a customer requested and were granted in the
-// other groups of engines of a service, within the window over which shares are counted. A
-// customer's prompts may go to few groups only; its share is counted over all of them.
+// OtherGroupUsage is what a customer requested through one router, and was granted, in the other
+// groups of engines of a service, within the window over which shares are counted. A customer's
+// prompts may go to few groups only; its share is counted over all of them.
 type OtherGroupUsage struct {
 	Requested, Granted float64
 }
--- a/pkg/dispatch/place.go
+++ b/pkg/dispatch/place.go
@@ -208,8 +208,8 @@
 
 // cheapest returns the engine with the lowest cost for a request among those that it may go to;
 // nil if there is none. For a request under which engines ended, the cost is what may break with
-// it: it goes where no other such request runs, so that an innocent one does not meet a deadly
-// one again, and then where the fewest requests run. In random fleets each deadly request broke
+// it: it goes where no other such request runs, so that an innocent one does not meet a crashing
+// one again, and then where the fewest requests run. In random fleets each crashing request broke
 // 51 other streams that way, instead of 72 when it was placed like any other (TestDeadlyWays).
 func (p *Pool) cheapest(candidates []*engine, req *Request, scope placementScope, now time.Time) *engine {
 	var best *engine
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -13,9 +13,9 @@
 type Rules struct {
 	// BacklogFraction is the longest predicted wait at an engine that gets new work, as a
 	// fraction of the shortest latency target in use. Engines take requests in order, so the
-	// next request needs the rest of its target. With a fixed 300 ms for targets from 300 ms on,
-	// 1 to 2 in 100 less of what was requested was answered in time (two times 8 pairs of
-	// simulated days with failures).
+	// next request needs the remainder of its target. With a fixed 300 ms for targets from 300 ms
+	// on, 1 to 2% less of what was requested was served in time (two times 8 pairs of simulated
+	// days with failures).
 	BacklogFraction float64
 	// OverShareBacklogFraction is the same for customers over their share.
 	OverShareBacklogFraction float64
@@ -23,20 +23,20 @@
 	// over their share divide the capacity. A stream's tokens are made between chunks of other
 	// requests' prompts: at an engine that reads half of its time a stream takes about twice as
 	// long, so a failure of all boxes breaks twice as many running streams. On simulated days
-	// with such a failure, 0.5 and 0.7 had 1 and 4 in 100 less of what was requested answered in
-	// time than 0.4, and 0.3 as much as 0.4. Days without failures differed by no more than 2 in
-	// 100 up to 0.5 (8 to 24 pairs of days).
+	// with such a failure, 1 and 4% less of what was requested was served in time with 0.5 and
+	// 0.7 than with 0.4, and as much with 0.3 as with 0.4. Days without failures differed by no
+	// more than 2% up to 0.5 (8 to 24 pairs of days).
 	ReadFraction float64
 	// CatchUpFraction is the fraction of what the most served customer was granted in the window
 	// up to which other customers do not have to wait for idle engines. No customer that is
 	// refused may get less than half of what another one gets. Of two that requested 3.7 and
-	// 19.8 million tokens a second, the first got 0.41 of the other's 1.01 million without this
-	// rule, 0.44 of 0.76 with 0.5, 0.53 of 0.72 with 0.75 and 0.59 of 0.69 with 0.9. Small
+	// 19.8 million tokens a second, the first got 0.41 and the other 1.01 million without this
+	// rule, 0.44 and 0.76 with 0.5, 0.53 and 0.72 with 0.75, and 0.59 and 0.69 with 0.9. Small
 	// customers, to whom the rule applies too, got 0.46 of what they requested, retries
 	// included, without it and 0.77 with 0.75 (a simulated fleet of 60 engines, 9 s each).
 	//
 	// On simulated days with floods of requests, 0.9 cost 0.010 (error 0.004, 12 pairs) of what
-	// was requested and answered in time, and 0.7 cost 0.006 (0.004, 8 pairs).
+	// was requested and served in time, and 0.7 cost 0.006 (0.004, 8 pairs).
 	CatchUpFraction float64
 	// MaxWaitFraction is the fraction of its latency target for which a request may wait here.
 	MaxWaitFraction float64
@@ -49,8 +49,7 @@
 	// for prompts that go only to the homes of their parts. ShortMissFactor is for prompts whose
 	// shared parts are short: they may go to any engine, and there are far more of them. With 2
 	// for these too, 0.48 instead of 0.45 million tokens were read again on a simulated day of
-	// 50 s without failures, and 1.5 in 100 less of what was requested was answered in time
-	// (2 pairs).
+	// 50 s without failures, and 1.5% less of what was requested was served in time (2 pairs).
 	MissFactor, ShortMissFactor float64
 	// Window is the time over which customers' shares are counted.
 	Window time.Duration
@@ -83,7 +82,7 @@
 	Rules Rules
 	// Rand spreads the retry times of refused requests.
 	Rand *rand.Rand
-	// Warm is set if the first engines that the pool learns of have served before, as when the
+	// Warm is set if the first engines that the pool receives have served before, as when the
 	// box started anew among a running fleet or after a stop of all boxes. A part that is seen
 	// for the first time is then assumed to be cached at its first home.
 	Warm bool
@@ -114,13 +113,13 @@
 	engines   map[string]*engine
 	// rests are the rests that engines asked of a router, by the number of its stream.
 	rests map[uint64]*lifecycle.Rests
-	// sorted are the engines by ID, so that decisions do not depend on the order of a map.
+	// sorted are the engines ordered by ID; decisions must not depend on the order of a map.
 	sorted   []*engine
 	accounts map[string]*account
 	waiting  map[string]*Request
 	grants   map[string]*grant
 	parts    map[uint64]*partStats
-	// exposed is where requests run, by fingerprint.
+	// exposures are the engines at which requests run, by fingerprint.
 	exposures map[quarantine.Fingerprint]exposure
 	queued    int
 	// round numbers the calls of Decide. A request that found no room in a round finds none
@@ -132,11 +131,12 @@
 	// warmUntil is when Warm loses its effect; by then, the parts in use have been seen.
 	warmUntil time.Time
 
-	// share is what each customer may have in a window, as updated at shareAt.
+	// share is the number of tokens that each customer may be granted in a window, last updated
+	// at shareAt.
 	share   float64
 	shareAt time.Time
-	// measuredShare is the same by what the engines are measured to do, and by what the most
-	// served customer was granted.
+	// measuredShare is the same number, from the measured rates of the engines and from what the
+	// most served customer was granted.
 	measuredShare float64
 	// granted and read are the tokens of recent grants, as counted by Prompt.Cost and as engines
 	// have to read them.
@@ -180,9 +180,9 @@
 // HasColdLimit reports whether the rate of requests to cold engines is limited.
 func (p *Pool) HasColdLimit() bool { return p.coldBound.MaxPerSecond > 0 }
 
-// Submit queues a request. A request that is queued already comes again by another stream or
-// because its decision was lost: the later stream counts. A grant that the router does not know
-// of is void.
+// Submit queues a request. A router submits a queued request again if it uses another stream; the
+// decision is then sent on the later one. It submits a granted request again if it did not receive
+// the decision; that grant is void.
 func (p *Pool) Submit(req *Request, now time.Time) {
 	if known := p.waiting[req.ID]; known != nil {
 		known.Stream = req.Stream
@@ -202,8 +202,8 @@
 	p.recordDemand(&req.Prompt, now)
 }
 
-// Adopt records a request that another dispatcher granted. If it is recorded already, the stream
-// by which the router reports it now counts.
+// Adopt records a request that another dispatcher granted. If it is recorded already, only
+// its stream is updated.
 func (p *Pool) Adopt(req *Request, endpoint string, begun bool, now time.Time) {
 	if known := p.grants[req.ID]; known != nil {
 		known.req.Stream = req.Stream
@@ -280,7 +280,7 @@
 	}
 }
 
-// refund takes back a grant from which the customer got nothing.
+// refund subtracts a grant from the usage of its customer, who got nothing for it.
 func (p *Pool) refund(g *grant, now time.Time) {
 	if !g.adopted {
 		p.tallyFor(g.req.Customer).Refunded += g.req.cost
@@ -288,7 +288,7 @@
 	p.account(g.req.Customer).addGranted(g.req, -1, now, p.Rules.Window)
 }
 
-// DropStream drops all that waits and runs of one stream, when its router is gone.
+// DropStream drops the waiting and running requests of one stream, whose router is gone.
 func (p *Pool) DropStream(stream uint64, now time.Time) {
 	delete(p.rests, stream)
 	for id, req := range p.waiting {
--- a/pkg/dispatch/pool_test.go
+++ b/pkg/dispatch/pool_test.go
@@ -44,9 +44,9 @@
 		later := start.Add(2 * time.Second)
 		p.Begin("1", later)
 		p.End("1", Done{}, later)
-		again := submit(p, newRequest("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later)[0].(Grant)
-		So(again.Endpoint, ShouldEqual, grant.Endpoint)
-		So(again.MissingTokens, ShouldEqual, 0)
+		second := submit(p, newRequest("2", "a", later, shared(7), Part{ID: 101, Tokens: 100}), later)[0].(Grant)
+		So(second.Endpoint, ShouldEqual, grant.Endpoint)
+		So(second.MissingTokens, ShouldEqual, 0)
 	})
 	Convey("A prompt waits for the engine that has its part cached rather than have it read elsewhere", t, func() {
 		p := newTestPool(9, 0)
@@ -250,10 +250,10 @@
 		submit(p, running, start)
 		eject(p, "e0")
 		submit(p, waiting, start)
-		again, anew := newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), newRequest("2", "a", start, Part{ID: 2, Tokens: 10})
-		again.Stream, anew.Stream = 2, 2
-		p.Adopt(again, "e0", false, start)
-		p.Submit(anew, start)
+		adopted, resubmitted := newRequest("1", "a", start, Part{ID: 1, Tokens: 10}), newRequest("2", "a", start, Part{ID: 2, Tokens: 10})
+		adopted.Stream, resubmitted.Stream = 2, 2
+		p.Adopt(adopted, "e0", false, start)
+		p.Submit(resubmitted, start)
 		p.DropStream(1, start)
 		So(p.Running(), ShouldEqual, 1)
 		So(p.IsWaiting("2"), ShouldBeTrue)
@@ -289,9 +289,9 @@
 		for _, c := range cached {
 			after.AddCachedParts(c, start)
 		}
-		again := submit(after, newRequest("2", "a", start, shared(7), Part{ID: 101, Tokens: 100}), start)[0].(Grant)
-		So(again.Endpoint, ShouldEqual, home)
-		So(again.MissingTokens, ShouldEqual, 0)
+		second := submit(after, newRequest("2", "a", start, shared(7), Part{ID: 101, Tokens: 100}), start)[0].(Grant)
+		So(second.Endpoint, ShouldEqual, home)
+		So(second.MissingTokens, ShouldEqual, 0)
 	})
 	Convey("After a restart of all boxes, parts are assumed to be cached at their homes for a while", t, func() {
 		p := newTestPool(9, 0)
--- a/pkg/dispatch/refusal.go
+++ b/pkg/dispatch/refusal.go
@@ -32,8 +32,8 @@
 const (
 	// minRetryAfter is the shortest predicted time: a few calls of Decide.
 	minRetryAfter = 30 * time.Millisecond
-	// maxRetryAfter is the longest, as nothing is known beyond the window over which shares are
-	// counted. It is also used if no engine accepts work by order of the operator, as that holds
+	// maxRetryAfter is the longest, as no prediction reaches beyond the window over which shares
+	// are counted. It is also used if no engine accepts work by order of the operator, as that holds
 	// for seconds.
 	maxRetryAfter = 4 * time.Second
 	// unknownRetryAfter is used if no engine may get new work: the first ejection of a failed
@@ -45,8 +45,8 @@
 
 // RetryAfterRest returns when to retry if all endpoints that may serve a request rest: after
 // the first rest ends in the time left, plus a fraction of it given by random, a number
-// between 0 and 1. The endpoints that rejected so many requests would reject them again if they
-// all came back at once.
+// between 0 and 1. The endpoints that rejected so many requests would reject them again if
+// all were retried at once.
 func RetryAfterRest(left time.Duration, random float64) time.Duration {
 	return left + time.Duration(random*retryJitter*float64(left))
 }
@@ -54,10 +54,10 @@
 // retryAfter returns the time after which to retry a refused request: half of the predicted time
 // until there is room, as other requests leave the queue too, spread from a quarter to three
 // quarters so that requests refused together are not retried together. A caller whose first try
-// is refused and whose second is served is answered within its latency target if the retry comes
-// soon enough. With 1.5 to 3 s for all customers over their share, and latency targets of 0.3 to
-// 0.6 s, every retry was late: on days with failures 5 in 100 less of what was requested was
-// answered in time.
+// is refused and whose second is served gets its response within its latency target if the retry
+// comes soon enough. With 1.5 to 3 s for all customers over their share, and latency targets of
+// 0.3 to 0.6 s, every retry was late: on days with failures 5% less of what was requested was
+// served in time.
 func (p *Pool) retryAfter(a *account, req *Request, isOver bool, now time.Time) time.Duration {
 	if left := p.earliestRestEnd(req, now).Sub(now); left > 0 {
 		return RetryAfterRest(left, p.Rand.Float64())
--- a/pkg/dispatch/request.go
+++ b/pkg/dispatch/request.go
@@ -17,7 +17,7 @@
 	Tokens int
 }
 
-// Prompt is what is known of the work of a request before it runs.
+// Prompt describes the work of a request, as far as it is known before the request runs.
 type Prompt struct {
 	// Parts are in order. An engine that has a part cached can use it only if it also has every
 	// part before it.
@@ -53,7 +53,7 @@
 	return p.Parts[len(p.Parts)-1]
 }
 
-// ExpectedOutput returns the number of tokens that the answer is expected to have.
+// ExpectedOutput returns the expected number of tokens of the response.
 func (p *Prompt) ExpectedOutput() int {
 	if p.HintOutput > 0 {
 		return min(p.HintOutput, max(p.MaxOutput, 1))
@@ -62,7 +62,7 @@
 }
 
 // defaultOutputDivisor is the divisor of MaxOutput that estimates the output if the caller gives
-// no estimate; answers are seldom as long as they may be.
+// no estimate; responses are seldom as long as they may be.
 const defaultOutputDivisor = 2
 
 // Cost returns the cost of the request in tokens: a token read counts once and a token generated
@@ -79,18 +79,18 @@
 	// requests.
 	Route string
 	Prompt
-	// Stream is the number of the stream by which the request came. The decision is sent back by
-	// it, and Pool.DropStream drops the requests of a stream.
+	// Stream is the number of the stream on which the request was received. The decision is sent
+	// on it, and Pool.DropStream drops the requests of a stream.
 	Stream uint64
 	// BoxHash is the hash of the name of the box that sent it. OtherGroupUsage is what that
-	// box's requests of the customer got in other groups of the service.
+	// box's requests of the customer were granted in other groups of the service.
 	BoxHash uint64
 	OtherGroupUsage
 	// Arrived is when the router received it.
 	Arrived time.Time
 	// LatencyTarget is the time from Arrived within which its first event should come.
 	LatencyTarget time.Duration
-	// Deadline is the time after which nobody waits for the answer.
+	// Deadline is the time after which nobody waits for the response.
 	Deadline time.Time
 	// Excluded are the endpoints that it must not go to again.
 	Excluded []string
@@ -109,7 +109,7 @@
 	triedRound uint64
 }
 
-// Decision is one of Grant and Refusal.
+// Decision is either a Grant or a Refusal.
 type Decision interface {
 	decision()
 }
@@ -147,11 +147,11 @@
 	outcome()
 }
 
-// Done means that the request was answered, or its caller went away.
+// Done means that the response was complete, or that the caller went away.
 type Done struct{}
 
-// Unused means that the grant came too late, or reached nobody: nothing was sent, and this says
-// nothing about the engine.
+// Unused means that the grant came too late, or was not delivered. Nothing was sent to the engine,
+// so this does not count as a failure of it.
 type Unused struct{}
 
 // NotRun means that the engine refused the request and ran nothing of it.
@@ -160,7 +160,7 @@
 // Unreachable means that the engine accepted no connection.
 type Unreachable struct{}
 
-// Broken means that the answer broke off.
+// Broken means that the response broke off.
 type Broken struct{}
 
 // Ended means that the engine ended while it ran the request.
--- a/pkg/dispatch/rest_simulation_test.go
+++ b/pkg/dispatch/rest_simulation_test.go
@@ -9,11 +9,11 @@
 	"github.com/quaylead/quaylead/pkg/lifecycle"
 )
 
-// restReporting is how the dispatching box learns that an endpoint asked a box for rest.
+// restReporting is how the dispatcher receives that an endpoint asked a box for rest.
 type restReporting int
 
 const (
-	// notReported: it does not learn it; a box hands back grants that it cannot use.
+	// notReported: it does not receive it; a box hands back grants that it cannot use.
 	notReported restReporting = iota
 	// inEachRequest: each request excludes the engines that rest for its box.
 	inEachRequest
@@ -35,12 +35,12 @@
 	waiting   map[string]*restRequest
 	// bindsAll makes a rest asked of one box bind all boxes.
 	bindsAll bool
-	// retries is how often a caller retries, at any box. retryElsewhere makes it retry at once
-	// if another box may be served.
+	// maxRetries is how often a caller retries, at any box. retryElsewhere makes it retry at
+	// once if engines accept requests of another box.
 	maxRetries     int
 	retryElsewhere bool
-	// givenUp counts callers without retries left. waited sums up, for the cameBack callers
-	// whose retry reached an engine, the time since their first try.
+	// givenUp counts the callers without retries left, and servedRetries those whose retry
+	// reached an engine. waited sums up the time from the first try of the latter to that.
 	givenUp, servedRetries int
 	waited                 time.Duration
 	// retriedEarly counts refusals with a RetryAfter that ends before any engine takes requests
@@ -85,7 +85,7 @@
 	box      *restBox
 	endpoint string
 	tries    int
-	// returned counts the retries of its caller, whose first try was at firstAt.
+	// retries counts the retries of its caller, whose first try was at firstAt.
 	retries int
 	firstAt time.Time
 }
@@ -93,7 +93,7 @@
 const (
 	// messageDelay is the time of a message between two boxes, or a box and an engine.
 	messageDelay = time.Millisecond
-	// leavingSpread is the time within which all boxes learn that an engine is leaving.
+	// leavingSpread is the time within which all boxes receive that an engine is leaving.
 	leavingSpread = 100 * time.Millisecond
 	// maxTries bounds the grants of one request that a box hands back.
 	maxTries = 3
@@ -179,14 +179,14 @@
 		s.givenUp++
 		return
 	}
-	again := *req.Request
-	again.ID, again.Arrived, again.Excluded = req.ID+"r", s.now.Add(after), nil
-	retried := &restRequest{Request: &again, box: s.boxes[s.rand.IntN(len(s.boxes))], retries: req.retries + 1, firstAt: req.firstAt}
-	s.at(again.Arrived, func() { s.submit(retried) })
+	next := *req.Request
+	next.ID, next.Arrived, next.Excluded = req.ID+"r", s.now.Add(after), nil
+	retried := &restRequest{Request: &next, box: s.boxes[s.rand.IntN(len(s.boxes))], retries: req.retries + 1, firstAt: req.firstAt}
+	s.at(next.Arrived, func() { s.submit(retried) })
 }
 
-// servedElsewhere reports whether, by the rests known to the dispatching box, some engine
-// accepts requests of another box.
+// canRetryElsewhere reports whether, by the rests reported to the dispatcher, some engine accepts
+// requests of another box.
 func (s *restSimulation) canRetryElsewhere(req *restRequest) bool {
 	for _, e := range s.pool.sorted {
 		for _, box := range s.boxes {
@@ -211,7 +211,7 @@
 	}
 }
 
-// wouldTake reports whether an engine accepts requests of a box now.
+// wouldAccept reports whether an engine accepts requests of a box now.
 func (s *restSimulation) wouldAccept(box *restBox, engine string) bool {
 	return !s.overloads[engine].rejects(box, s.now) && !s.now.Before(box.restUntil[engine]) && !box.reportedLeaving[engine]
 }
@@ -301,7 +301,7 @@
 	})
 }
 
-// updateLeaving passes this on to the dispatching box.
+// updateLeaving updates the dispatcher's endpoints by what the first box received.
 func (s *restSimulation) updateLeaving() {
 	endpoints := s.pool.Endpoints()
 	for i := range endpoints {
@@ -310,7 +310,7 @@
 	s.pool.SetEndpoints(endpoints, s.now)
 }
 
-// takeOver makes another box dispatch, which knows only what routers report to it.
+// takeOver makes another box the dispatcher, which has only the state that routers report to it.
 func (s *restSimulation) takeOver() {
 	before := s.pool
 	s.pool = &Pool{Rules: before.Rules, Rand: before.Rand, Warm: true}
--- a/pkg/dispatch/rest_test.go
+++ b/pkg/dispatch/rest_test.go
@@ -13,15 +13,15 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// Engines that had rejected a request and asked the box for rest got more requests from it
-// within 100 ms, and an engine that had reported in a response that it was leaving got requests
-// as before, as boxes did not read these reports. A box that reads them must also pass them to
-// the dispatching box, and again to its successor.
+// Boxes did not read what engines report in responses: engines that had rejected a request and
+// asked the box for rest got more requests from it within 100 ms, and an engine that had reported
+// that it was leaving got requests as before. A box that reads these reports must also send them
+// to the dispatcher, and again to its successor.
 
 // TestWords checks over random fleets, for every way of reporting and with changes of the
-// dispatching box: no request reaches an engine that asked for rest or reported that it is
-// leaving; no engine is idle while a request waits that it accepts; no request waits that no
-// engine accepts; and callers are told to retry no earlier than the first engine's rest ends.
+// dispatcher: no request reaches an engine that asked for rest or reported that it is leaving; no
+// engine is idle while a request waits that it accepts; no request waits that no engine accepts;
+// and no RetryAfter ends before the first engine's rest does.
 func TestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
--- a/pkg/dispatch/share.go
+++ b/pkg/dispatch/share.go
@@ -29,8 +29,8 @@
 }
 
 // capacity returns what the engines can do in a second, in tokens as counted by Prompt.Cost, if
-// they read for Rules.ReadFraction of their time; cached parts cost them nothing. It is at least
-// the stated rate.
+// they read for Rules.ReadFraction of their time; cached parts cost no reading time. It is at
+// least the stated rate.
 func (p *Pool) capacity(now time.Time) float64 {
 	p.granted.advance(now, p.Rules.Window)
 	p.read.advance(now, p.Rules.Window)
@@ -40,7 +40,7 @@
 			rate += e.rate
 		}
 	}
-	// The ratio of the first few grants says little.
+	// The ratio of the first few grants is not reliable.
 	const minTokens = 1000
 	if p.read.sum < minTokens {
 		return p.tokensPerSecond
@@ -91,9 +91,10 @@
 const (
 	// withinShare requests do not wait for any request over its customer's share.
 	withinShare shareLevel = iota
-	// overShare requests go where they delay others little. Customers that were granted clearly
-	// less than the most served one have this level too: of two customers that get idle engines
-	// only, the one with the longer queue finds them more often, whichever is first in turn.
+	// overShare requests go to engines with a short wait, where they delay others little.
+	// Customers that were granted clearly less than the most served one have this level too: of
+	// two customers that get idle engines only, the one with the longer queue finds them more
+	// often, whichever is first in turn.
 	overShare
 	// farOverShare requests get idle engines only.
 	farOverShare
--- a/pkg/dispatch/simulation_test.go
+++ b/pkg/dispatch/simulation_test.go
@@ -17,7 +17,7 @@
 type simulation struct {
 	pool *Pool
 	// readRate is in tokens per second and engine; firstTokenDelay is the time from the end of
-	// reading to the first token; tokenInterval is that between two tokens of an answer.
+	// reading to the first token; tokenInterval is that between two tokens of a response.
 	readRate        float64
 	firstTokenDelay time.Duration
 	tokenInterval   time.Duration
@@ -274,7 +274,7 @@
 	})
 }
 
-// TestSpeedsOfEngines checks that no constant fits only engines of one speed: a pool three times
+// TestSpeedsOfEngines checks that no constant suits engines of one speed only: a pool three times
 // slower or faster, with requests and latency targets to match, serves the same fraction.
 func TestSpeedsOfEngines(t *testing.T) {
 	served := func(factor float64) (inTime, refused float64) {
--- a/pkg/dispatch/tally.go
+++ b/pkg/dispatch/tally.go
@@ -19,7 +19,7 @@
 	RefusedAfterWait, Withdrawn float64
 	// Granted was assigned to an engine.
 	Granted float64
-	// Begun had its first event, and Answered ended after that without a failure.
+	// Begun had its first event, and Completed ended after that without a failure.
 	Begun, Completed float64
 	// Refunded was granted and not used, or broke before it began.
 	Refunded float64
--- a/pkg/lifecycle/departure.go
+++ b/pkg/lifecycle/departure.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Departure reports that an instance of an endpoint leaves, as it said in an answer. This is
-// final: an instance that leaves never becomes available again.
+// Departure records that an instance of an endpoint leaves, as it stated in a response. This
+// is final: an instance that leaves never becomes available again.
 type Departure struct {
 	Endpoint string
 	// Born identifies the instance that leaves; 0 if unknown.
--- a/pkg/lifecycle/facts.go
+++ b/pkg/lifecycle/facts.go
@@ -35,7 +35,7 @@
 	return f.Born != 0 && other.Born != 0 && f.Born > other.Born
 }
 
-// Outdated reports whether the facts are of an earlier instance than others of the same ID.
+// IsOutdatedBy reports whether other facts of the same ID are of a later instance.
 func (f *Facts) IsOutdatedBy(other *Facts) bool { return other.Supersedes(f) }
 
 // MarshalLogObject logs the facts; ColdUntil only if it is set.
--- a/pkg/lifecycle/rests.go
+++ b/pkg/lifecycle/rests.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Rest is an endpoint's request to one box, sent when it refused a request (Retry-After), to
-// send it nothing until a time. It does not concern other boxes, and ends with the instance
-// that asked.
+// Rest is the time in which an endpoint asked one box to send it nothing, by the Retry-After
+// with which it rejected a request. It does not concern other boxes, and ends with the
+// instance that asked.
 type Rest struct {
 	Endpoint string
 	// Born identifies the instance that asked; 0 if unknown.
--- a/pkg/lifecycle/state.go
+++ b/pkg/lifecycle/state.go
@@ -11,7 +11,7 @@
 	MaxPerSecond float64
 }
 
-// Source is the reason for which an endpoint counts as cold.
+// ColdReason is the reason for which an endpoint counts as cold.
 type ColdReason int
 
 const (
@@ -35,13 +35,13 @@
 	sentWindow   = 1150 * time.Millisecond
 )
 
-// State is what one box knows of one instance of an endpoint, and how much was sent to it
-// there. The zero value is an endpoint of which nothing is known. It is not safe for
-// concurrent use.
+// State holds what is known at one box of one instance of an endpoint, and the requests that
+// were recently sent to it from there. The zero value is an endpoint of which nothing is known.
+// It is not safe for concurrent use.
 type State struct {
 	Facts
 	// assumedColdUntil is until when the endpoint counts as cold without having reported it,
-	// and source the reason.
+	// and coldReason the reason.
 	assumedColdUntil time.Time
 	coldReason       ColdReason
 	// sent are the times of the requests sent within sentWindow, in order.
--- a/pkg/lifecycle/state_test.go
+++ b/pkg/lifecycle/state_test.go
@@ -13,7 +13,7 @@
 	bound = Bound{Duration: 3 * time.Second, MaxPerSecond: 14.1}
 )
 
-// mostInASecond is the largest number of times within any second.
+// maxWithinSecond returns the largest number of times within any second.
 func maxWithinSecond(times []time.Time) (maxCount int) {
 	for first := range times {
 		count := 0
--- a/pkg/quarantine/changes.go
+++ b/pkg/quarantine/changes.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// markChanged has a record sent to other boxes, except the one that it came from. The lock is
-// held.
+// markChanged marks a record to be sent to the other boxes, except the one that it came from.
+// The lock is held.
 func (l *Ledger) markChanged(r *endRecord, from string) {
 	l.sequence++
 	r.sequence, r.from = l.sequence, from
@@ -17,8 +17,8 @@
 	return End{Fingerprint: r.fingerprint, Instance: r.instance, Version: r.version, Age: now.Sub(r.at)}
 }
 
-// Since returns the ends that changed since a mark, without those that came from the box named
-// by to; if there are many, not all of them. The first mark of a stream is 0, the next is the
+// EndsSince returns the ends that changed since a mark, maxMessageEnds at most, without those
+// that came from the box named by to. The first mark of a stream is 0, the next is the
 // one returned.
 func (l *Ledger) EndsSince(since uint64, to string, now time.Time) (ends []End, mark uint64) {
 	l.mu.Lock()
@@ -53,7 +53,7 @@
 }
 
 // MostSevere returns the ends of the requests under which most endpoints ended, as many as fit
-// into one message: what a box has to know before it sends anything.
+// into one message: what a box needs before it sends any request.
 func (l *Ledger) MostSevere(now time.Time) (ends []End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,7 +1,7 @@
-// Package quarantine stops sending requests under which endpoints keep ending, that is, whose
-// endpoints' processes end while they run the request. A deadly request ends each endpoint
-// that starts to run it, and is repeated with another ID and at any box, so the ends are
-// counted by what its repeats have in common: their fingerprint.
+// Package quarantine detects crashing requests: an endpoint that runs one ends, that is, its
+// process ends. Callers repeat such a request with another ID and at any box, so the ends are
+// counted by what the repeats have in common, their fingerprint. A request under which too
+// many endpoints ended is quarantined: no endpoint gets it for a time.
 package quarantine
 
 import (
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// MaxEnds is how many endpoints one request may end. An ordinary crash cuts some thirty
-	// streams and may hit the retry of the same caller again, so that one or two ends happen
-	// to bystanders, requests that are not the cause; three seldom do.
+	// MaxEnds is how many endpoints one request may end. One or two ends also happen to
+	// bystanders, requests that are not the cause: an ordinary crash cuts some thirty streams,
+	// and may hit the retry of the same caller again. Three seldom do.
 	MaxEnds = 3
 	// minQuarantine is how long a request is quarantined after the third end. Then it may be
 	// tried at one endpoint, and each further end multiplies the time by quarantineGrowth, up
-	// to maxQuarantine: a bystander is served again within minutes, and a deadly request ends
+	// to maxQuarantine: a bystander is served again within minutes, and a crashing request ends
 	// three more endpoints within seven hours, which leaves time to fix their software.
 	minQuarantine    = 10 * time.Minute
 	quarantineGrowth = 6
@@ -73,10 +73,10 @@
 	Age time.Duration
 }
 
-// Ledger is what one box knows of the requests under which endpoints ended. Boxes send each
-// other all of it, so that any of them may be lost, and each one decides by itself: in
-// simulated fleets that lose boxes a request ended 3 engines at most, and 7 if only the
-// dispatcher counted (TestDeadlyWays). The zero value is empty. It is safe for concurrent use.
+// Ledger holds the ends that one box has recorded or received. Boxes send each other all of
+// them, so any box may be lost, and each one decides by itself: in simulated fleets that lose
+// boxes a request ended 3 engines at most, and 7 if only the dispatcher counted
+// (TestDeadlyWays). The zero value is empty. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
@@ -106,6 +106,7 @@
 	from     string
 }
 
+// ended reports whether the end has not been retracted.
 func (r *endRecord) ended() bool { return r.version%2 == 1 }
 
 // Status is what may be done with a request.
@@ -119,7 +120,7 @@
 	Until time.Time
 }
 
-// Quarantined reports whether the request must not be sent to any endpoint.
+// IsQuarantined reports whether the request must not be sent to any endpoint.
 func (s Status) IsQuarantined() bool { return s.Allowed == 0 }
 
 // Check returns what may be done with a request now.
@@ -315,10 +316,10 @@
 	return 1
 }
 
-// Clear records that a service answered a request completely: the request was a bystander
-// wherever an endpoint of that service ended under it. It reports whether any had. The ends of
-// other services stay: a route may lead to two services, of which one answers what ends the
-// other's endpoints.
+// Clear records that a service returned a complete response to a request: the request was a
+// bystander wherever an endpoint of that service ended under it. It reports whether any had.
+// The ends of other services stay: a route may lead to two services, one of which may serve
+// what ends the other's endpoints.
 func (l *Ledger) Clear(f Fingerprint, service string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/ledger_test.go
+++ b/pkg/quarantine/ledger_test.go
@@ -15,7 +15,7 @@
 
 func instance(number int) Instance { return InstanceOf("llm", fmt.Sprintf("engine-%d", number), 0) }
 
-// noteEnds records the ends of so many endpoints.
+// recordEnds records the ends of so many endpoints.
 func recordEnds(l *Ledger, f Fingerprint, count int, now time.Time) {
 	for i := range count {
 		l.RecordEnd(f, instance(i), now)
@@ -43,7 +43,7 @@
 		So(l.Check(crashing, later), ShouldResemble, Status{Ends: 4, Until: later.Add(quarantineGrowth * minQuarantine)})
 		So(quarantineTime(20), ShouldEqual, maxQuarantine)
 	})
-	Convey("A request that is answered completely is cleared, and the end of an endpoint that is alive is retracted", t, func() {
+	Convey("A request with a complete response is cleared, and the end of an endpoint that is alive is retracted", t, func() {
 		l := &Ledger{}
 		bystander := fingerprintOf("POST", "/brief/1", "ward", "bystander")
 		recordEnds(l, crashing, 3, start)
--- a/pkg/quarantine/store.go
+++ b/pkg/quarantine/store.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// minStoredEnds is the number of ends from which on a request is kept in the store. What is
-// lost if all boxes are killed at once is then one end at most. Without the store, a deadly
-// request that was repeated after such a loss ended three more endpoints each time, and when
+// minStoredEnds is the number of ends from which on a request is kept in the store. If all
+// boxes are killed at once, one end is lost at most. Without the store, a crashing request
+// that was repeated after such a loss ended three more endpoints each time, and when
 // it was stored from the third end on, two. Bystanders with two ends are few.
 const minStoredEnds = 2
 
 // StoredRequest is what the store keeps of a request.
 type StoredRequest struct {
 	Fingerprint Fingerprint
-	// Ends are those that count; none means that the store is to delete the request.
+	// Ends are those that count; if there are none, the row has to be deleted.
 	Ends []End
 }
 
-// Outdated reports whether none of the ends counts any more.
+// IsExpired reports whether none of the ends counts any more.
 func (r *StoredRequest) IsExpired() bool {
 	return !slices.ContainsFunc(r.Ends, func(end End) bool { return end.Age <= maxQuarantine })
 }
 
-// TakeUnstored returns the rows that this box has to change in the store. Rows that could not
-// be written are returned with PutBack.
+// TakeUnstored returns the rows that this box has to change in the store, up to a limit. Rows
+// that could not be written are returned with PutBack.
 func (l *Ledger) TakeUnstored(limit int, now time.Time) (rows []StoredRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,8 +40,8 @@
 	return rows
 }
 
-// storedRequestOf returns what the store is to keep of a fingerprint; changed is false if the
-// store neither has nor needs a row. The lock is held.
+// storedRequestOf returns the row that the store should have of a fingerprint; changed is false
+// if the store neither has nor needs one. The lock is held.
 func (l *Ledger) storedRequestOf(f Fingerprint, now time.Time) (row StoredRequest, changed bool) {
 	row.Fingerprint = f
 	known := l.suspects[f]
@@ -62,8 +62,8 @@
 	return row, true
 }
 
-// Reconcile marks the requests to be written again of which the store, by its rows, has fewer
-// ends than are known here.
+// Reconcile compares the rows of the store with the ledger. It marks the requests of which the
+// store has fewer ends to be written again.
 func (l *Ledger) Reconcile(rows []StoredRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/route/catalog.go
+++ b/pkg/route/catalog.go
@@ -105,7 +105,7 @@
 type Engine struct {
 	// Slots is the number of requests that one engine runs at once.
 	Slots int
-	// CacheTokens is the memory of one engine for running requests and cached prompts.
+	// CacheTokens is the memory of one engine for running requests and its prefix cache.
 	CacheTokens int
 }
 
--- a/pkg/route/directory.go
+++ b/pkg/route/directory.go
@@ -37,7 +37,7 @@
 }
 
 // IsNewerInstanceThan reports whether this entry is of a later instance of the endpoint than
-// another entry. If the start times do not tell which is later, a different address decides.
+// another entry. If the start times do not show which is later, a different address decides.
 func (e *Endpoint) IsNewerInstanceThan(other *Endpoint) bool {
 	return e.Supersedes(&other.Facts) || (!e.IsOutdatedBy(&other.Facts) && e.Address != other.Address)
 }
--- a/pkg/route/knowledge.go
+++ b/pkg/route/knowledge.go
@@ -11,8 +11,8 @@
 	// not known, so a box that still lists such an endpoint cannot be brought up to date from
 	// here.
 	Base epoch.Version
-	// GapAfter and GapBefore bound the versions between which endpoints may have come and gone
-	// unnoticed, because a full read skipped the changes.
+	// GapAfter and GapBefore bound the versions between which endpoints may have been added and
+	// removed unnoticed, because a full read skipped the changes.
 	GapAfter, GapBefore epoch.Version
 	// Polls numbers the polls of the store by all boxes. A box that polls counts on from the
 	// highest number it has received. Two simultaneous polls may get the same number.
@@ -45,7 +45,7 @@
 }
 
 // RecordPoll adds what a poll of the store returned as of a version. A full read does not show
-// which endpoints came and went since the last poll.
+// which endpoints were added and removed since the last poll.
 func (k *Knowledge) RecordPoll(version epoch.Version, full bool) {
 	k.Polls++
 	if k.Known == 0 {
--- a/pkg/route/orders.go
+++ b/pkg/route/orders.go
@@ -34,9 +34,9 @@
 func (k *KeptOrders) IsEmpty() bool { return len(k.Evacuated) == 0 && len(k.Rollouts) == 0 }
 
 // Keep carries over orders that were in force before and are missing now. If the store has
-// entered a later epoch since, these are all earlier orders, for the retention time; otherwise
-// only those already kept, until their time is over. A roll-out is also kept if the store's
-// order for its service is older than the known one.
+// entered a later epoch since, all earlier orders are kept, for the retention time; otherwise
+// only those that were kept already, until their time is over. A roll-out is also kept if the
+// store's order for its service is older than the known one.
 func (o *Orders) Keep(before *Orders, now time.Time, retention time.Duration) {
 	kept, until := before.Kept, before.KeptUntil
 	if before.Version.HasEarlierEpochThan(o.Version) {
