--- a/pkg/gateway/active_attempts.go
+++ b/pkg/gateway/active_attempts.go
@@ -9,15 +9,15 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errRestarted ends an attempt whose endpoint has restarted: it will not answer any more.
+// errRestarted ends an attempt whose endpoint has restarted: no response can follow.
 var errRestarted = errors.New("the endpoint has restarted")
 
-// errNotAdmitted ends an attempt before anything was sent, as the chosen endpoint no longer
+// errNotAdmitted ends an attempt before anything was sent, because the chosen endpoint no longer
 // admits requests.
 var errNotAdmitted = errors.New("the endpoint no longer admits requests")
 
-// activeAttempts are the attempts in progress, so that those at an endpoint that restarts can
-// be ended. Without this, a stream at an engine that restarted behind a network partition
+// activeAttempts holds the attempts in progress, in order to cancel those at an endpoint that
+// has restarted. Without this, a stream at an engine that restarted behind a network partition
 // waited for its caller's timeout, several seconds.
 type activeAttempts struct {
 	mu       sync.Mutex
@@ -40,7 +40,7 @@
 }
 
 // cancelRestarted cancels the attempts at endpoints that have restarted according to the
-// directory. Endpoints that are gone from it may still finish their answers.
+// directory. Endpoints that are gone from it may still finish their responses.
 func (l *activeAttempts) cancelRestarted(directory *route.Directory) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,8 +53,8 @@
 }
 
 // admits reports whether a request may still be sent to the endpoint chosen for it. Every
-// sender calls it just before the first byte is sent. It uses what this box itself knows,
-// whichever box made the grant: the dispatcher may not know that the endpoint asked this box
+// sender calls it just before the first byte is sent. It uses the state of this box, whichever
+// box made the grant: the dispatcher may not have received yet that the endpoint asked this box
 // for rest.
 func (g *Gateway) admits(chosen *route.Endpoint) bool {
 	current, known := g.registry.Directory().Find(chosen.ID)
--- a/pkg/gateway/admission.go
+++ b/pkg/gateway/admission.go
@@ -7,7 +7,7 @@
 	"github.com/quaylead/quaylead/pkg/dispatch"
 )
 
-// enterQueue records that a request of a customer waits, unless it is to be refused.
+// enterQueue records that a request of a customer waits, unless it has to be refused.
 func (s *scheduler) enterQueue(customer string) dispatch.Admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -16,9 +16,10 @@
 }
 
 // refuseEarly refuses a request that would not be sent to a dispatcher; ok is false if it may
-// wait. Refusing here costs a third less of the router's work than after its caller's
-// connection is watched (profile of refusals at one router on loopback): a router whose
-// processor time is used up by refusals of one customer sends no requests to the dispatcher.
+// wait. A refusal at this point takes a third less of the router's processor time than one
+// after the watch on the caller's connection has begun (profile of refusals at one router on
+// loopback). A router whose processor time is used up by refusals of one customer sends no
+// requests to the dispatcher.
 func (s *scheduler) refuseEarly(req *dispatch.Request) (v verdict, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
@@ -37,9 +38,9 @@
 	s.backlog.Leave(customer, v.endpoint == "" && v.overShare, time.Now())
 }
 
-// otherBoxRetryDelay is the least Retry-After of a request that an overloaded or stopping box
-// refuses, after which it should go to another box. An overloaded box spreads it over as much
-// again.
+// otherBoxRetryDelay is the minimum Retry-After of a request that an overloaded or stopping box
+// refuses and that should be retried at another box. An overloaded box adds a random time of up
+// to the same length.
 const otherBoxRetryDelay = 100 * time.Millisecond
 
 // refuseLocally refuses a request without asking the dispatcher.
@@ -49,8 +50,8 @@
 	s.recordLocalRefusal(req.Customer, req.Cost(), admission)
 	v := verdict{overShare: admission == dispatch.RefusedOverShare, waiting: dispatch.MaxWaitingOverShare, decidedBy: s.gateway.Settings.Name}
 	if v.overShare {
-		// The requests that wait here are decided within that time; until then there is no
-		// room for more.
+		// The requests that wait here are decided within that time. No other one is admitted
+		// before.
 		wait := time.Duration(s.pool.Rules.MaxWaitFraction * float64(req.LatencyTarget))
 		v.retryAfter = wait + rand.N(wait+1)
 		return v
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -20,7 +20,7 @@
 	route.Endpoint
 	// finish records the outcome of the attempt.
 	finish func(outcome)
-	// finishTimed also records how long the answer took; it is set only for plain endpoints.
+	// finishTimed also records how long the response took; it is set only for plain endpoints.
 	finishTimed func(how outcome, took time.Duration)
 	// begin records the first event; it is set only for engines.
 	begin func()
@@ -33,8 +33,8 @@
 	suspendedTotal time.Duration
 }
 
-// attempt sends the request to an endpoint and waits for the head of the answer. Its errors go
-// to handleFailure, which decides how to continue.
+// attempt sends the request to an endpoint and waits for the head of the response. Its errors
+// go to handleFailure, which decides how to continue.
 func (c *call) attempt(to destination, lastEvent string) (*endpoint.Response, error) {
 	if c.lifecycle.State() < request.Queued {
 		// A received request can always be queued.
@@ -80,10 +80,10 @@
 	return response, nil
 }
 
-// drop reads the rest of a short answer, so that its connection can be reused.
+// discard reads the rest of a short response, so that its connection can be reused.
 func (c *call) discard(response *endpoint.Response) {
 	if _, err := response.ReadAll(maxHeadBytes); err != nil {
-		c.log().Debug("answer of an endpoint that declined was truncated", zap.String("Request", c.ID), zap.Error(err))
+		c.log().Debug("response of an endpoint that declined was truncated", zap.String("Request", c.ID), zap.Error(err))
 	}
 	response.Close()
 }
@@ -115,7 +115,7 @@
 	return "the endpoint declined with status " + strconv.Itoa(e.status)
 }
 
-// unusableError reports an answer that can not be passed on.
+// unusableError reports a response that can not be forwarded.
 type unusableError struct {
 	reason string
 }
@@ -123,8 +123,8 @@
 // Error returns the reason.
 func (e *unusableError) Error() string { return e.reason }
 
-// handleFailure records the outcome of a failed attempt and decides what follows: nil for
-// another attempt, or the final answer.
+// handleFailure records the outcome of a failed attempt. It returns nil if another attempt
+// follows, and otherwise the refusal for the caller.
 func (c *call) handleFailure(to destination, err error) *request.Refusal {
 	result, retry := c.classifyFailure(to, err)
 	to.finish(result)
@@ -164,8 +164,8 @@
 	}
 }
 
-// maxUnreachable bounds the endpoints of one request that could not be connected to, or that
-// were no longer admitted once the connection was open.
+// maxUnreachable bounds the endpoints of one request that could not be connected to, or that no
+// longer admitted requests once the connection was open.
 const maxUnreachable = 3
 
 // classifyFailure returns what a failure says about the endpoint, and whether the request may
@@ -187,7 +187,7 @@
 	case errors.As(err, &declined):
 		return outcomeDeclined, c.reserveRetry()
 	default:
-		// This is recorded first: it decides whether the request may be sent again.
+		// The end is recorded first, because it may put the request under quarantine.
 		result = c.recordBroken(to, err)
 		return result, c.route.Repeatable && c.reserveRetry()
 	}
@@ -214,7 +214,7 @@
 	return true
 }
 
-// releaseRetry returns a reserved retry that is not sent, as no endpoint takes the request.
+// releaseRetry refunds a reserved retry that is not sent because no endpoint takes the request.
 func (c *call) releaseRetry() {
 	if c.reserved != (reservation{}) {
 		c.gateway.budget.refund(c.service.Name, c.reserved)
@@ -225,14 +225,15 @@
 // minRetryTime is the remaining time below which another attempt is of no use.
 const minRetryTime = 20 * time.Millisecond
 
-// failureRetryDelay is the Retry-After of a request that failed: by then the failing endpoint
-// is likely to be excluded. It is spread so that callers do not return all at once.
+// failureRetryDelay returns the Retry-After of a request that failed: by then the failing
+// endpoint is likely to be excluded. It is random, because the callers would otherwise all retry
+// at once.
 func failureRetryDelay() time.Duration {
 	return 200*time.Millisecond + rand.N(200*time.Millisecond)
 }
 
-// endedRefusal is the final answer to a request that was ended by its deadline, the route's
-// time limit, its caller or a planned stop.
+// endedRefusal returns the refusal of a request that was ended by its deadline, the route's time
+// limit, its caller or a planned stop.
 func (c *call) endedRefusal() *request.Refusal {
 	cause := context.Cause(c.ctx)
 	switch {
--- a/pkg/gateway/budget.go
+++ b/pkg/gateway/budget.go
@@ -7,11 +7,11 @@
 )
 
 // retryBudget is this box's share of the fleet's retry budget. Boxes need not coordinate: each
-// earns retries by its own requests, and has an equal share of the extra ones.
+// earns retries with its own requests and has an equal share of the extra ones.
 type retryBudget struct {
 	settings Settings
 	peers    func() int
-	// randomDraw is drawn at the start, between 0 and 1.
+	// randomDraw is a random number between 0 and 1, drawn when the box starts; see maxExtra.
 	randomDraw float64
 
 	mu       sync.Mutex
@@ -20,16 +20,16 @@
 
 // allowance holds the retries that are left for one service.
 type allowance struct {
-	// earned is earned by this box's requests, and decays over the window.
+	// earned grows with this box's requests and decays over the window.
 	earned float64
 	// extra is what is left of this box's share of the fleet's extra retries.
 	extra     float64
 	updatedAt time.Time
 }
 
-// usableFraction is the fraction of the fleet's budget that is used: requests are counted here
-// at other moments than where the budget is checked, and the retries of a box that is gone
-// still count.
+// usableFraction is the fraction of the fleet's budget that the boxes use. The rest is a
+// reserve: requests are counted here at other moments than where the budget is checked, and the
+// retries of a box that is gone still count.
 const usableFraction = 0.5
 
 // earn records a request for a service.
@@ -61,8 +61,8 @@
 	return taken, true
 }
 
-// refund returns an unsent retry to the balances it was taken from: the extra is refilled with
-// each window and must not be saved up as earned.
+// refund returns an unsent retry to the balances it was taken from. The extra is refilled with
+// each window and must not accumulate as earned.
 func (b *retryBudget) refund(service string, unsent reservation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,9 +80,10 @@
 	return b.allowanceOf(service).available() >= 1
 }
 
-// maxExtra is the most extra retries that can accumulate: this box's equal share. If that is
-// less than one, as many boxes as there are extra retries may have one each, chosen at random:
-// if every box kept a fraction, they would add up to more than the fleet's budget.
+// maxExtra returns the maximum number of extra retries that can accumulate: this box's equal
+// share. If that is less than one, as many boxes as there are extra retries may have one each,
+// chosen at random: if every box kept a fraction of a retry, these would add up to more than the
+// fleet's budget.
 func (b *retryBudget) maxExtra() float64 {
 	fraction := b.settings.RetryExtra * usableFraction / float64(b.peers()+1)
 	if fraction >= 1 {
--- a/pkg/gateway/budget_test.go
+++ b/pkg/gateway/budget_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRetryBudgetHoldsForTheFleet has the boxes of a fleet take retries as often as they like
-// and refund a fraction of them unsent. In no window may more be sent than the budget allows
-// the whole fleet, although the boxes do not coordinate.
+// TestRetryBudgetHoldsForTheFleet has the boxes of a fleet take retries as often as they can
+// and refund a fraction of them unsent. In no window may they send more than the budget of the
+// whole fleet, although they do not coordinate.
 func TestRetryBudgetHoldsForTheFleet(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		boxes := rapid.IntRange(1, 300).Draw(r, "boxes")
@@ -26,7 +26,7 @@
 func checkBudget(t *rapid.T, boxes int, steps []int, greedy int) {
 	const step = 250 * time.Millisecond
 	settings := Settings{RetryRatio: 0.2, RetryExtra: 58, RetryWindow: 10 * time.Second}
-	// Boxes draw independently; rapid would also generate cases in which all draw alike.
+	// Boxes draw independently; rapid would also generate cases in which all draw the same number.
 	draws := rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "lots")))
 	fleet := make([]*retryBudget, boxes)
 	for i := range fleet {
--- a/pkg/gateway/call.go
+++ b/pkg/gateway/call.go
@@ -18,7 +18,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// The causes for which a request ends before its answer.
+// The causes that end a request before its response is complete.
 var (
 	errCallerGone   = errors.New("the caller went away")
 	errDeadline     = errors.New("the caller's deadline passed")
@@ -31,9 +31,9 @@
 	http    *fasthttp.RequestCtx
 	RequestInfo
 	arrived time.Time
-	// deadline is when the answer is of no more use, by the caller's timeout or the route's.
-	// Suspensions of the machine extend it: suspendedTotal is their total when the request
-	// arrived.
+	// deadline is when the caller's timeout or the route's ends. Time for which the machine was
+	// suspended counts towards it although the clock stood still: suspendedTotal is the total of
+	// the suspensions when the request arrived.
 	deadline       time.Time
 	suspendedTotal time.Duration
 	// deadlineCause is the cause with which the deadline ends the request.
@@ -41,7 +41,7 @@
 	route         *route.Route
 	service       route.Service
 	customer      string
-	// fingerprint identifies repeats of the request, and end records the last endpoint that
+	// fingerprint identifies repeats of the request, and lastEnd records the last endpoint that
 	// ended while it ran the request.
 	fingerprint quarantine.Fingerprint
 	lastEnd     quarantine.End
@@ -62,11 +62,11 @@
 	reserved reservation
 	// guard ends the current attempt if it stalls.
 	guard *guard
-	// streaming is set once the answer's stream owns the call; the stream then finishes it.
+	// streaming is set once the response's stream owns the call; the stream then finishes it.
 	streaming bool
 }
 
-// serve answers one request.
+// serve handles one request.
 func (g *Gateway) serve(http *fasthttp.RequestCtx) {
 	g.inFlight.Add(1)
 	c := &call{gateway: g, http: http, arrived: time.Now()}
@@ -82,8 +82,8 @@
 	}
 }
 
-// withEarlierAttempts replaces a refusal that promises that nothing was run, if an earlier
-// attempt may have run.
+// withEarlierAttempts replaces a refusal which states that the request did not run, if an
+// earlier attempt may have run it.
 func (c *call) withEarlierAttempts(refusal *request.Refusal) *request.Refusal {
 	if refusal.Run != request.NotRun || c.lifecycle.RunStatus() == request.NotRun {
 		return refusal
@@ -221,7 +221,7 @@
 	})
 }
 
-// remaining is the time in which an answer is still of use.
+// remaining returns the time until the deadline.
 func (c *call) remaining() time.Duration {
 	return time.Until(c.deadline) - (c.gateway.suspensions.Detected() - c.suspendedTotal)
 }
@@ -235,7 +235,7 @@
 	return c.gateway.Logs.For(logflags.Caller)
 }
 
-// refuse writes a final answer of the router itself.
+// refuse writes a refusal as the response.
 func (c *call) refuse(refusal *request.Refusal) {
 	c.gateway.Metrics.Refused(string(refusal.Code))
 	routeName := ""
@@ -263,7 +263,7 @@
 	}
 }
 
-// refuseMalformed answers input that is not an HTTP request within the limits.
+// refuseMalformed responds to input that is not an HTTP request within the limits.
 func (g *Gateway) refuseMalformed(http *fasthttp.RequestCtx, err error) {
 	g.Logs.For(logflags.Caller).Info("malformed request", zap.Error(err))
 	refusal := notRun(request.InvalidRequest, "the request is malformed, too large or too slow", 0)
@@ -271,7 +271,7 @@
 	http.SetConnectionClose()
 }
 
-// forwardHead starts the caller's answer with the endpoint's status and headers.
+// forwardHead starts the caller's response with the endpoint's status and headers.
 func (c *call) forwardHead(response *endpoint.Response) {
 	out := &c.http.Response
 	response.Head.CopyTo(&out.Header)
@@ -280,7 +280,7 @@
 	c.gateway.Translator.StripConnectionHeaders(&out.Header)
 }
 
-// logEndpointError logs a final answer that is an endpoint's own error.
+// logEndpointError logs a forwarded response that is an endpoint's own error.
 func (c *call) logEndpointError(to destination, status int) {
 	if status < fasthttp.StatusInternalServerError {
 		return
@@ -295,8 +295,8 @@
 		zap.Duration("Age", time.Since(c.arrived)))
 }
 
-// forwardWhole forwards an answer that is read whole before any of it is sent, so that a
-// truncated one can still be reported as failed.
+// forwardBuffered forwards a response that is read completely before any of it is sent, so that
+// a truncated one can still be reported as failed.
 func (c *call) forwardBuffered(response *endpoint.Response) error {
 	body, err := response.ReadAll(maxResponseBytes)
 	if err != nil {
--- a/pkg/gateway/cold.go
+++ b/pkg/gateway/cold.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// minAskerAge is how long a box must have sent its requests to this one before it counts
-	// as an asker. By then, what was sent by grants of its previous dispatcher is out of the
-	// window in which requests to a cold endpoint count.
+	// minAskerAge is how long a box must have asked this one for grants before it counts as an
+	// asker. By then, what it sent by grants of its previous dispatcher is out of the window in
+	// which requests to a cold endpoint count.
 	minAskerAge = 1150 * time.Millisecond
 	// coldFractionTTL is how long a computed fraction is used.
 	coldFractionTTL = 50 * time.Millisecond
 	// lostMemberTTL is how long a lost box still counts as one that may dispatch or ask a
-	// dispatcher: a box that is cut off from the others but not from the engines sees all of
-	// them lost.
+	// dispatcher: a box that is partitioned from the others but not from the engines considers
+	// all of them lost.
 	lostMemberTTL = 10 * time.Second
 	// coldSenderCount is the number of boxes that send to a cold plain endpoint, each with an
 	// equal share of its bound: few enough for a share of some requests a second, and enough
 	// that some remain when boxes go.
 	coldSenderCount = 4
-	// coldSenderDelay is how long a box has to be one of them before it sends: a change
-	// reaches 300 boxes within a quarter of a second, and a box that was chosen before may
-	// have sent until then.
+	// coldSenderDelay is how long a box has to be one of these senders before it sends: a change
+	// of the fleet reaches 300 boxes within a quarter of a second, and a box that was chosen
+	// before may have sent until then.
 	coldSenderDelay = 1500 * time.Millisecond
 	// coldSenderInterval is the time between two choices of the senders.
 	coldSenderInterval = 250 * time.Millisecond
 )
 
-// coldFraction is a computed fraction of the bounds of cold engines.
+// cachedColdFraction is a computed fraction of the bounds of cold engines and when it expires.
 type cachedColdFraction struct {
 	fraction float64
 	until    time.Time
 }
 
 // coldFraction returns the fraction of the bounds of cold engines that this box may use: the
-// number of boxes that ask it, itself included, divided by that of all boxes. As each box asks
-// one dispatcher at a time, the fractions of all dispatchers add up to 1 at most. When each
-// dispatcher used the whole bound, two at the same time sent a cold engine twice its bound.
-// The lock is held.
+// number of boxes that ask it, itself included, divided by that of all boxes. Because each box
+// asks one dispatcher at a time, the fractions of all dispatchers add up to 1 at most. When each
+// dispatcher used the whole bound, two at the same time sent a cold engine twice its bound. The
+// caller holds the lock.
 func (s *scheduler) coldFraction(now time.Time) float64 {
 	if now.Before(s.cachedCold.until) {
 		return s.cachedCold.fraction
@@ -75,7 +75,8 @@
 	since map[string]time.Time
 }
 
-// update chooses anew for the given endpoints among the boxes that are alive; own is this box.
+// update determines for which of the endpoints this box, own, is one of the senders, given the
+// boxes that are alive.
 func (c *coldSenders) update(endpoints, boxes []string, own string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +93,7 @@
 	c.since = since
 }
 
-// fraction is the fraction of an endpoint's bound that this box may use.
+// fraction returns the fraction of an endpoint's bound that this box may use.
 func (c *coldSenders) fraction(endpoint string, now time.Time) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/gateway/customer_reports.go
+++ b/pkg/gateway/customer_reports.go
@@ -16,20 +16,20 @@
 // engines: a pool has a few large ones, and the log has to stay small with hundreds of boxes.
 const maxReportedCustomers = 6
 
-// localRefusals is what a box refused of one customer without asking the dispatcher, in tokens.
+// localRefusals counts the tokens that a box refused one customer without asking the dispatcher.
 type localRefusals struct {
-	// overShare was beyond the customer's share, and overloaded was refused because the box is
-	// overloaded.
+	// overShare was refused because the customer is over its share, and overloaded because the
+	// box is overloaded.
 	overShare, overloaded float64
 }
 
-// customerService is what a box recorded of one customer in a second.
+// customerReport is what a box recorded of one customer in a second.
 type customerReport struct {
 	dispatch.CustomerTally
 	localRefusals
 }
 
-// recordLocalRefusal records a refusal by this box itself. The caller holds the lock.
+// recordLocalRefusal records a refusal without the dispatcher. The caller holds the lock.
 func (s *scheduler) recordLocalRefusal(customer string, tokens float64, admission dispatch.Admission) {
 	if s.localRefusals == nil {
 		s.localRefusals = map[string]*localRefusals{}
@@ -46,9 +46,9 @@
 	}
 }
 
-// takeServices returns what was recorded since the last call of the customers with the largest
-// demand, so that those that were refused something can be compared with the others. It returns
-// none if nothing was refused.
+// takeCustomerReports returns what was recorded since the last call for the customers with the
+// largest demand, in order to compare those that were refused something with the others. It
+// returns none if nothing was refused.
 func (s *scheduler) takeCustomerReports() []customerReport {
 	s.mu.Lock()
 	tallies, refusals := s.pool.TakeTallies(), s.localRefusals
@@ -77,10 +77,10 @@
 	return reports[:min(maxReportedCustomers, len(reports))]
 }
 
-// weight returns the demand of a customer, by which the customers are sorted.
+// demand returns the tokens of all of the customer's requests.
 func (c *customerReport) demand() float64 { return c.Requested + c.overShare + c.overloaded }
 
-// reportServices logs, for each second in which something is refused, what the customers with
+// reportCustomers logs, for each second in which something is refused, what the customers with
 // the largest demand requested and got.
 func (g *Gateway) reportCustomers(ctx context.Context) error {
 	interval.Every(ctx, time.Second, func() {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// logService writes the line that `quayctl shares` reads.
+// logCustomer writes the line that `quayctl shares` reads.
 func (s *scheduler) logCustomer(one *customerReport) {
 	s.log.Info("customer's service",
 		zap.String("Service", s.groupName),
--- a/pkg/gateway/endpoints.go
+++ b/pkg/gateway/endpoints.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// closeConnections closes idle connections to an endpoint that is gone, or whose earlier
-// instance they were opened to: what is sent on them would be lost. The lock is held.
+// closeConnections closes the idle connections to an endpoint that is gone or has restarted:
+// what is sent on them would be lost. The caller holds the lock.
 func (g *Gateway) closeConnections(change *route.Change) {
 	before, after := change.Before, change.After
 	if before == nil || (after != nil && after.Address == before.Address && !after.Supersedes(&before.Facts)) {
--- a/pkg/gateway/fetcher.go
+++ b/pkg/gateway/fetcher.go
@@ -17,7 +17,7 @@
 	sources map[string]uint64
 }
 
-// addSource records that a box has a version. It reports whether run has to be started.
+// addSource records that a box announced a version. It reports whether run has to be started.
 func (f *fetcher) addSource(from string, version uint64) (start bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,8 +30,8 @@
 	return start
 }
 
-// run fetches until no source is ahead. A box from which a fetch failed is asked again only
-// when it announces a version again.
+// run fetches until no source is ahead. A fetch that failed is retried only when its box
+// announces a version again.
 func (f *fetcher) run() error {
 	for {
 		from, version := f.nextSource()
@@ -42,7 +42,7 @@
 	}
 }
 
-// nextSource returns the box with the highest version among those that are ahead.
+// nextSource removes and returns the source with the highest version, if that is ahead.
 func (f *fetcher) nextSource() (from string, version uint64) {
 	known := f.localVersion()
 	f.mu.Lock()
--- a/pkg/gateway/fetcher_test.go
+++ b/pkg/gateway/fetcher_test.go
@@ -12,7 +12,7 @@
 // TestFetcher announces a version from several boxes at once.
 func TestFetcher(t *testing.T) {
 	type scenario struct {
-		// Fetches from failing boxes give nothing.
+		// failing are the boxes from which fetches fail.
 		failing map[string]bool
 		asked   int
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -43,14 +43,14 @@
 	registry    *registry.Registry
 	exchange    *peer.Exchange
 	fleet       *membership.View
-	// catalogs, directories and orders fetch newer versions from other boxes.
+	// These fetch newer versions from other boxes.
 	catalogFetcher, directoryFetcher, ordersFetcher fetcher
 	// contactsWake triggers a new choice of the contacts. It has a capacity of 1.
 	contactsWake chan struct{}
 	budget       *retryBudget
 	health       *health
-	// ledger records under which requests endpoints ended, and unconfirmed which of these
-	// ends may prove wrong.
+	// ledger records which requests endpoints were running when they ended, and unconfirmed
+	// which of these ends may still turn out to be wrong.
 	ledger      quarantine.Ledger
 	unconfirmed unconfirmedEnds
 	// suspensions detects suspensions of the machine.
@@ -59,14 +59,15 @@
 	// to while they are cold.
 	attempts    activeAttempts
 	coldSenders coldSenders
-	// rests are the times until which endpoints asked this box to send them nothing.
+	// rests holds until when endpoints asked this box to send them nothing.
 	rests rests
-	// rollouts move services to other versions of their endpoints.
+	// rollouts moves services to other versions of their endpoints.
 	rollouts rollouts
 	// catalog is the last one applied to the pools.
 	catalog *route.Catalog
 	load    load
-	// work runs what serves callers; it continues after the context of Run has ended.
+	// work runs the goroutines that serve callers; they continue after the context of Run has
+	// ended.
 	work *errgroup.Group
 	// workContext ends what is still in progress when the time for a planned stop is up.
 	workContext context.Context
@@ -280,7 +281,7 @@
 	}
 }
 
-// debugLogger passes the library's messages on at the debug level.
+// debugLogger logs the messages of the HTTP library at the debug level.
 type debugLogger struct {
 	log *zap.Logger
 }
@@ -313,7 +314,7 @@
 	return !g.stopping.Load() && !g.suspensions.refreshing.Load() && !g.load.isBusy(time.Now()) && g.registry.Catalog() != nil && g.registry.Directory() != nil
 }
 
-// reportOverload logs the start of a time in which this box is not ready for new callers.
+// reportOverload logs that a time begins in which this box is not ready for new callers.
 func (g *Gateway) reportOverload() {
 	g.log.Warn("overloaded, not ready for a while",
 		zap.Duration("ProcessorWait", g.load.meanDelay()),
@@ -349,14 +350,14 @@
 }
 
 const (
-	// quietTime is how long no request must have arrived before a stopping box assumes that
+	// noArrivalsTime is how long no request must have arrived before a stopping box assumes that
 	// the balancer sends no more: the interval of the balancer's checks.
 	noArrivalsTime = time.Second
-	// quietCheckInterval is the time between two checks of whether requests arrive.
+	// arrivalCheckInterval is the time between two checks of whether requests arrive.
 	arrivalCheckInterval = 100 * time.Millisecond
 )
 
-// awaitQuiet waits until no request has arrived for quietTime, or until the given time.
+// awaitNoArrivals waits until no request has arrived for noArrivalsTime, or until the given time.
 func (g *Gateway) awaitNoArrivals(until time.Time) {
 	for time.Now().Before(until) {
 		if time.Since(g.startedAt)-time.Duration(g.lastArrival.Load()) > noArrivalsTime {
--- a/pkg/gateway/granted.go
+++ b/pkg/gateway/granted.go
@@ -14,8 +14,8 @@
 	begun    bool
 }
 
-// recordGrant records a grant, also in this box's own pool and at the dispatcher, so that both
-// know what runs.
+// recordGrant records a grant. This box's own pool and the dispatcher record it as well, unless
+// they made it: both count what runs at the engines.
 func (s *scheduler) recordGrant(req *dispatch.Request, v verdict, from *remote) verdict {
 	if v.endpoint == "" {
 		return v
@@ -76,10 +76,10 @@
 	s.decide()
 }
 
-// recordRest makes this box's own pool, and the dispatcher, grant this box nothing at an
-// engine that asked it for rest. A grant by a dispatcher that does not know of it has to be
-// handed back: that costs a round trip of messages, and the same engine is granted again, as
-// it looks idle.
+// recordRest makes this box's own pool, and the dispatcher, grant this box nothing at an engine
+// that asked it for rest. Without it the dispatcher's grants of that engine would have to be
+// handed back: each costs a round trip, and the next request is granted the same engine, which
+// seems idle.
 func (s *scheduler) recordRest(rest lifecycle.Rest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/gateway/guard.go
+++ b/pkg/gateway/guard.go
@@ -9,8 +9,8 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errStalled ends an attempt whose endpoint sends nothing for too long. Only requests that may
-// be repeated are given up for this; they are sent to another endpoint.
+// errStalled ends an attempt whose endpoint sends nothing for too long. Only repeatable requests
+// are ended for this; they are retried at another endpoint.
 var errStalled = errors.New("the endpoint sent nothing for too long")
 
 // guard ends an attempt that stalls, or whose endpoint has restarted. A nil guard does
@@ -24,8 +24,8 @@
 	cancel context.CancelCauseFunc
 }
 
-// The silence after which a repeatable request is sent to another endpoint. It has to be far
-// longer than what a busy endpoint takes, as giving up wastes the work done there.
+// Timeouts after which a repeatable request is retried at another endpoint. They have to be far
+// longer than a busy endpoint takes, because a retry wastes the work done there.
 const (
 	// plainStallFactor times the route's latency target is the timeout of a plain request,
 	// and minPlainStallTimeout its minimum.
@@ -33,14 +33,15 @@
 	minPlainStallTimeout = 300 * time.Millisecond
 	// firstEventMargin is added to the predicted time of a stream's first event.
 	firstEventMargin = 1500 * time.Millisecond
-	// pauseStallFactor times the longest pause that the route aims for is the timeout between
-	// two events, and minPauseStallTimeout its minimum.
+	// gapStallFactor times the route's gap target is the timeout between two events, and
+	// minGapStallTimeout its minimum.
 	gapStallFactor     = 3
 	minGapStallTimeout = time.Second
 )
 
-// guardContext returns the context of an attempt. A stalled attempt is given up only if
-// another one may follow: otherwise a late answer is better than none.
+// startGuard replaces the call's guard and returns the context of the next attempt. A stalled
+// attempt is canceled only if another one may follow: otherwise a late response is better than
+// none.
 func (c *call) startGuard(to destination) context.Context {
 	c.guard.stop()
 	ctx, cancel := context.WithCancelCause(c.ctx)
@@ -68,14 +69,14 @@
 	return max(gapStallFactor*c.route.GapTarget, minGapStallTimeout)
 }
 
-// extend restarts the timeout, as the endpoint has sent something.
+// reset restarts the timeout after the endpoint has sent something.
 func (g *guard) reset(length time.Duration) {
 	if g != nil && g.timer != nil {
 		g.timer.Reset(length)
 	}
 }
 
-// stop ends the attempt's context.
+// stop stops the timer and cancels the attempt's context.
 func (g *guard) stop() {
 	if g == nil {
 		return
--- a/pkg/gateway/health.go
+++ b/pkg/gateway/health.go
@@ -12,12 +12,12 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// health tracks the endpoints of plain services by the outcomes of this box's requests.
+// health rates the endpoints of plain services by the outcomes of this box's requests.
 type health struct {
 	log *zap.Logger
 	// coldFraction returns the fraction of a cold endpoint's bound that this box may use.
 	coldFraction func(endpoint string, now time.Time) float64
-	// rests are the times until which endpoints asked this box to send them nothing.
+	// rests holds until when endpoints asked this box to send them nothing.
 	rests *rests
 
 	mu     sync.Mutex
@@ -26,14 +26,14 @@
 
 // endpointHealth is the health of one endpoint.
 type endpointHealth struct {
-	// instance says whether and how much may be sent; bound is its limit while it is cold.
+	// instance determines whether and how much may be sent; bound limits it while it is cold.
 	instance lifecycle.State
 	bound    lifecycle.Bound
 	// inFlight counts this box's requests there.
 	inFlight int
 	// failureRate is a moving average of the outcomes: 0 if all succeeded, 1 if all failed.
 	failureRate float64
-	// meanLatency is a moving average of the answers' latencies.
+	// meanLatency is a moving average of the responses' latencies.
 	meanLatency time.Duration
 	// ejectedUntil is the end of a time without new requests, and ejection its length.
 	ejectedUntil time.Time
@@ -73,9 +73,9 @@
 	return len(h.states) == 0
 }
 
-// update applies the latest entry of an endpoint. An endpoint that restarted starts with a new
-// state. first is set if no endpoint was known before: those known first are taken as warm, as
-// they have already served other boxes.
+// update applies the latest entry of an endpoint. A restarted endpoint gets a new state. initial
+// is set for the first entries that this box receives: their endpoints are considered warm,
+// because they have already served other boxes.
 func (h *health) update(endpoint *route.Endpoint, bound lifecycle.Bound, initial bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -98,10 +98,10 @@
 	delete(h.states, id)
 }
 
-// choose picks the endpoint that is likely to answer soonest, of those that can take a request
-// now, and counts the request there. If all were ejected after failures, it picks the one
-// whose ejection ends first; endpoints that asked for rest get nothing. The state is nil if
-// there is no endpoint.
+// choose picks the endpoint that is likely to respond first, of those that can take a request
+// now, and counts the request there. If all of them are ejected, it picks the one whose ejection
+// ends first. Endpoints that asked for rest are never picked. The state is nil if there is no
+// endpoint.
 func (h *health) choose(endpoints []route.Endpoint, excluded []string, zone string) (chosen route.Endpoint, state *endpointHealth) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,8 +132,8 @@
 // round trip, and the price of the bytes.
 const crossZoneCost = 2
 
-// cost is the expected time of a request in milliseconds. Ejected endpoints cost more than any
-// other.
+// cost returns the expected time of a request in milliseconds. Ejected endpoints cost more than
+// any other.
 func (s *endpointHealth) cost(now time.Time) float64 {
 	const typical = 20 * time.Millisecond
 	took := max(s.meanLatency, typical).Seconds() * 1000
@@ -172,7 +172,7 @@
 	if s.failureRate >= maxFailureRate {
 		s.ejection = min(max(minEjection, 2*s.ejection), maxEjection)
 		s.ejectedUntil = time.Now().Add(s.ejection)
-		// It may have restarted when it is back, before its entry says so.
+		// It may have restarted by the end of the ejection without a new entry yet.
 		s.instance.AssumeCold(lifecycle.Returned, s.ejectedUntil.Add(s.bound.Duration))
 		h.log.Info("endpoint rests",
 			zap.String("Endpoint", id),
@@ -194,9 +194,10 @@
 	// outcomeUnused: nothing was sent, through no fault of the endpoint.
 	outcomeUnused
 	outcomeGood
-	// outcomeFull: the endpoint refused the request and did not run it.
+	// outcomeDeclined: the endpoint refused the request and did not run it.
 	outcomeDeclined
-	// outcomeFailed: the endpoint answered with an error, or its answer was cut or unusable.
+	// outcomeFailed: the endpoint responded with an error, or its response was truncated or
+	// unusable.
 	outcomeFailed
 	// outcomeEnded: the endpoint ended while it ran the request.
 	outcomeEnded
--- a/pkg/gateway/histories.go
+++ b/pkg/gateway/histories.go
@@ -7,9 +7,9 @@
 	"github.com/quaylead/quaylead/pkg/dispatch"
 )
 
-// histories record what this box's requests of one service asked for and were granted within
-// the window, over all groups. Each request carries the totals, so that the dispatcher of one
-// group knows what a customer gets in the others.
+// histories records the costs of this box's requests to one service, and of those that were
+// granted, within the share window and over all groups. Each request carries what its customer
+// used of the other groups, because the dispatcher of one group does not see their requests.
 type histories struct {
 	mu                 sync.Mutex
 	requested, granted dispatch.History
@@ -37,15 +37,15 @@
 	h.granted.Refund(req, now)
 }
 
-// sum returns the totals of one customer.
+// totals returns the sums of one customer.
 func (h *histories) totals(customer string, now time.Time) dispatch.OtherGroupUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return dispatch.OtherGroupUsage{Requested: h.requested.Granted(customer, now), Granted: h.granted.Granted(customer, now)}
 }
 
-// recordAsk records a request, and sets in it what its customer requested and was granted in
-// the other groups. The lock is held.
+// recordRequest records a request, and sets in it what its customer requested and was granted in
+// the other groups. The caller holds the lock.
 func (s *scheduler) recordRequest(req *dispatch.Request, now time.Time) {
 	req.BoxHash = s.boxHash
 	if s.groupCount <= 1 {
--- a/pkg/gateway/load.go
+++ b/pkg/gateway/load.go
@@ -16,8 +16,8 @@
 )
 
 // load measures how busy this box is, by how long incoming work waits for the processor, and
-// decides when the box should get no new callers. All callers of one large customer may be
-// connected to one small box.
+// determines when the box should get no new callers. This is needed because all callers of one
+// large customer may be connected to one small box.
 type load struct {
 	// delay is a moving average of that wait, in nanoseconds.
 	delay atomic.Int64
@@ -29,8 +29,8 @@
 }
 
 const (
-	// probeInterval is the time between two measurements. Where the processor time is limited
-	// by a quota, the quota is refilled each tenth of a second.
+	// probeInterval is the time between two measurements. If the processor time is limited by a
+	// quota, the quota is refilled each tenth of a second.
 	probeInterval = 250 * time.Millisecond
 	// delayWeight is the weight of the newest measurement.
 	delayWeight = 0.4
@@ -40,15 +40,15 @@
 	// maxSample bounds one measurement: a box that was paused for a while is not overloaded
 	// yet when it continues.
 	maxSample = 2 * maxMeanDelay
-	// minBusyTime is how long an overloaded box is at least not ready. The balancer checks
-	// each second and acts on the second answer; one more second lets it move callers
-	// elsewhere.
+	// minBusyTime is how long an overloaded box is not ready, at least. The balancer checks each
+	// second and acts on the second response; one more second lets it send callers to other
+	// boxes.
 	minBusyTime = 3 * time.Second
 )
 
 // measure measures the wait until the context ends, and calls overloaded when a time without
-// new callers begins. The box sends itself bytes through a pipe: like all input, they have to
-// be noticed by the poller and then wait to be scheduled.
+// new callers begins. The box sends itself bytes through a pipe: like all input, they have to be
+// detected by the runtime's poller, and their reader then waits to be scheduled.
 func (l *load) measure(ctx context.Context, overloaded func()) (err error) {
 	defer func() { err = trace.Wrap(err, "measuring the load of this box") }()
 	reader, writer, err := os.Pipe()
@@ -109,7 +109,7 @@
 	l.delay.Store(before + int64(delayWeight*float64(int64(wait)-before)))
 }
 
-// meanDelay is the mean wait for the processor.
+// meanDelay returns the mean wait for the processor.
 func (l *load) meanDelay() time.Duration { return time.Duration(l.delay.Load()) }
 
 // update begins or extends a time without new callers if the box is overloaded. It reports
@@ -138,8 +138,8 @@
 	return now.Before(l.busyUntil)
 }
 
-// isShedding reports whether callers with open connections should open new ones: by now, the
-// balancer sends these to other boxes.
+// isShedding reports whether callers with open connections should open new ones, which the
+// balancer by now sends to other boxes.
 func (l *load) isShedding(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/gateway/load_test.go
+++ b/pkg/gateway/load_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// work has a box wait for its processor by the same time in each measurement of a period.
+// addSamples adds the same wait for each measurement of a period.
 func addSamples(l *load, from time.Time, length, wait time.Duration) (until time.Time, began bool) {
 	until = from.Add(length)
 	for at := from; at.Before(until); at = at.Add(probeInterval) {
--- a/pkg/gateway/messages.go
+++ b/pkg/gateway/messages.go
@@ -10,7 +10,7 @@
 	"github.com/quaylead/quaylead/pkg/rollout"
 )
 
-// encodeAsk encodes a request that waits or, with an endpoint, runs there.
+// encodeRequest encodes a request that waits or, with an endpoint, runs there.
 func encodeRequest(req *dispatch.Request, endpoint string, begun bool) *peerpb.Call {
 	now := time.Now()
 	message := &peerpb.Ask{
@@ -44,7 +44,7 @@
 	return &peerpb.Call{Kind: &peerpb.Call_Ask{Ask: message}}
 }
 
-// decodeAsk is the inverse of encodeAsk.
+// decodeRequest is the inverse of encodeRequest.
 func decodeRequest(message *peerpb.Ask, streamNumber uint64, now time.Time) *dispatch.Request {
 	req := &dispatch.Request{
 		ID:       message.ID,
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -27,14 +27,14 @@
 	refusals         expvar.Map
 	dispatchRefusals expvar.Map
 	cuts             expvar.Map
-	// granted counts grants, and missing the tokens of shared prompt parts that an engine had
-	// to read again for them.
+	// granted counts grants, and missingTokens the tokens of shared prompt parts that were not
+	// cached at the granted engines.
 	granted       expvar.Int
 	missingTokens expvar.Int
 	// rests counts how often an endpoint asked this box for rest, and handedBack the chosen
 	// endpoints to which nothing was sent in the end, as they no longer admitted requests.
 	rests, handedBack expvar.Int
-	// readings counts the full reads of the endpoints that were begun, by reason.
+	// fullReads counts the full reads of the endpoints that were begun, by reason.
 	fullReads expvar.Map
 }
 
@@ -58,7 +58,7 @@
 	m.firstEvent.Add(record.Key{Customer: customer, Class: route}, took)
 }
 
-// Answered records the time to a whole answer.
+// Completed records the time to the end of a complete response.
 func (m *Metrics) Completed(customer, route string, took time.Duration) {
 	m.total.Add(record.Key{Customer: customer, Class: route}, took)
 }
@@ -66,10 +66,11 @@
 // Refused counts a refusal by its code.
 func (m *Metrics) Refused(code string) { m.refusals.Add(code, 1) }
 
-// Turned counts a request that the dispatcher, or this box in its place, refused, by customer.
+// RefusedByDispatcher counts, by customer, a request that the dispatcher, or this box in its
+// place, refused.
 func (m *Metrics) RefusedByDispatcher(customer string) { m.dispatchRefusals.Add(customer, 1) }
 
-// Cut counts an answer that the caller sees truncated, by service.
+// Cut counts, by service, a response that the caller received truncated.
 func (m *Metrics) Cut(service string) { m.cuts.Add(service, 1) }
 
 // Granted counts a grant.
@@ -78,7 +79,7 @@
 	m.missingTokens.Add(int64(v.missingTokens))
 }
 
-// RestRequested counts an answer in which an endpoint asks for rest.
+// RestRequested counts a response in which an endpoint asks for rest.
 func (m *Metrics) RestRequested() { m.rests.Add(1) }
 
 // FullRead counts a full read of the endpoints that begins.
@@ -133,10 +134,10 @@
 	return nil
 }
 
-// sampleInterval: one in so many successes is logged.
+// sampleInterval is the number of successes of which one is logged.
 const sampleInterval = 16
 
-// isSampled samples requests by their ID, so that every box logs the same ones.
+// isSampled selects requests by a hash of their ID, so that every box logs the same ones.
 func isSampled(id string) bool {
 	return xxhash.Sum64String(id)%sampleInterval == 0
 }
--- a/pkg/gateway/model.go
+++ b/pkg/gateway/model.go
@@ -17,8 +17,8 @@
 const defaultLatencyTarget = time.Second
 
 // serveModel serves a request to a service of model engines: it waits for a grant and withholds
-// the head of the answer until the first event has arrived. Until then nothing has been
-// delivered to the caller, so the request can be sent to another engine.
+// the head of the response until the first event has arrived. Until then nothing has been
+// delivered to the caller, so the request can be retried at another engine.
 func (c *call) serveModel() *request.Refusal {
 	for {
 		to, refusal := c.acquire()
@@ -75,20 +75,20 @@
 	}
 }
 
-// maxUnusableGrants is the number of grants of one request that this box may have to hand back
-// before it decides on its own: its view of the engines is then newer than that of the
-// dispatcher.
+// maxUnusableGrants is the number of grants of one request that this box hands back before it
+// decides without the dispatcher: its view of the engines is then newer than the dispatcher's.
 const maxUnusableGrants = 2
 
-// checkGrant returns the granted engine. If this box may not send to that engine by its own
-// view of it, it hands the grant back and reports that it is not usable.
+// checkGrant returns the granted engine. If that engine is absent here or rests from this box,
+// it hands the grant back and reports that it is not usable.
 func (c *call) checkGrant(s *scheduler, v verdict) (to destination, usable bool) {
 	found, known := c.gateway.registry.Directory().Find(v.endpoint)
 	switch {
 	case !known || !found.Admits():
 		s.returnAbsentGrant(c.ID, v)
 	case c.gateway.rests.isResting(&found, time.Now()):
-		// The engine works, but asked this box for rest.
+		// The grant is no sign that the dispatcher's view is outdated: only this box was asked for
+		// rest.
 		s.end(c.ID, dispatch.Unused{})
 	default:
 		c.log().Debug("engine granted", zap.String("Request", c.ID), zap.String("Endpoint", found.ID), zap.String("By", v.decidedBy), zap.Duration("Wait", v.wait))
@@ -105,8 +105,8 @@
 	return to, false
 }
 
-// refuseLocally refuses at once a request for which this box would not ask the dispatcher,
-// because enough requests of its customer already wait here.
+// refuseEarly refuses a request for which this box would not ask the dispatcher, because enough
+// requests of its customer already wait here.
 func (c *call) refuseEarly() *request.Refusal {
 	p := c.gateway.pool(c.service.Name)
 	if p == nil || c.Prompt == nil {
@@ -121,7 +121,7 @@
 	return c.dispatchRefusal(v)
 }
 
-// dispatchRequest describes the request for the dispatcher.
+// dispatchRequest returns the request in the form that the dispatcher takes.
 func (c *call) dispatchRequest() *dispatch.Request {
 	latencyTarget := c.route.LatencyTarget
 	if latencyTarget <= 0 {
@@ -143,7 +143,7 @@
 	}
 }
 
-// refuseTurned returns the refusal for a verdict without an engine.
+// dispatchRefusal returns the refusal for a verdict without an engine.
 func (c *call) dispatchRefusal(v verdict) *request.Refusal {
 	if refusal := c.refuseQuarantined(); refusal != nil {
 		return refusal
@@ -177,7 +177,8 @@
 
 var eventStreamType = []byte("text/event-stream")
 
-// answerModel forwards the answer of an engine: a stream event by event, anything else whole.
+// forwardResponse forwards the response of an engine: a stream event by event, anything else
+// after it has been read completely.
 func (c *call) forwardResponse(to destination, response *endpoint.Response) error {
 	status := response.Head.StatusCode()
 	if status == fasthttp.StatusOK && bytes.HasPrefix(response.Head.ContentType(), eventStreamType) {
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// answerStream gives the stream to the HTTP server, which reads it event by event.
+// forwardStream gives the stream to the HTTP server, which reads it event by event.
 func (c *call) forwardStream(to destination, response *endpoint.Response) error {
 	s := &stream{
 		call:      c,
@@ -223,7 +224,7 @@
 }
 
 // resume continues a broken stream at another engine, after the last event that was forwarded.
-// The caller has already received the head of the first engine's answer.
+// The caller has already received the head of the first engine's response.
 func (s *stream) resume(broken error) error {
 	c := s.call
 	for {
--- a/pkg/gateway/operations_test.go
+++ b/pkg/gateway/operations_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// logged matches the texts of log lines at the levels that are always written.
+// logged matches the Events of log lines at the levels that are always written.
 var logged = regexp.MustCompile(`\.(?:Info|Warn|Error)\(\s*"([^"]+)"`)
 
 // published matches the names of metrics.
--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -17,7 +17,7 @@
 )
 
 // recordListedBoxes records the boxes that the store lists. A box that is missing from the list
-// is not assumed to be gone: only its peers report that.
+// is not considered lost: only its peers determine that.
 func (g *Gateway) recordListedBoxes(boxes []registry.Box) {
 	for _, found := range boxes {
 		g.fleet.AddListed(peer.Sender{Box: found.Name, Zone: found.Zone, PeerAddress: found.PeerAddress, Cores: found.Cores})
@@ -33,8 +33,8 @@
 	return boxes
 }
 
-// announceState sends the other boxes at once whether this box is configured and whether it is
-// stopping.
+// announceState reports to the other boxes at once whether this box is configured and whether it
+// is stopping.
 func (g *Gateway) announceState() {
 	g.fleet.SetStatus(g.registry.Catalog() != nil, g.stopping.Load())
 	g.exchange.SendNow()
@@ -47,15 +47,15 @@
 }
 
 const (
-	// contactsInterval is the mean time between two selections of contacts while nothing
-	// changes.
+	// contactsInterval is the mean time between two selections of contacts if no change of the
+	// fleet wakes maintainContacts.
 	contactsInterval = 200 * time.Millisecond
 	// minContactsInterval is the minimum time between two selections: while a fleet starts,
 	// changes arrive every few milliseconds.
 	minContactsInterval = 30 * time.Millisecond
 )
 
-// wakeContacts causes maintainContacts to select the contacts again soon.
+// wakeContacts makes maintainContacts select the contacts again soon.
 func (g *Gateway) wakeContacts() {
 	select {
 	case g.contactsWake <- struct{}{}:
@@ -82,8 +82,8 @@
 }
 
 // dispatchers returns the boxes that dispatch for the groups of engines and those that would
-// take over from them, so that sessions exist before they are needed. It includes the boxes
-// from which this one fetches the tallies of a roll-out.
+// take over from them, to which sessions should exist before they are needed. It includes the
+// boxes from which this one fetches the tallies of a roll-out.
 func (g *Gateway) dispatchers() (boxes []string) {
 	for _, group := range g.schedulers() {
 		boxes = append(boxes, group.wantedSessions(sessionsPerGroup)...)
@@ -91,11 +91,11 @@
 	return append(boxes, g.rollouts.proversToAsk()...)
 }
 
-// readyDispatchers is the number of top-ranked boxes of a group of engines to which a session
-// is kept.
+// sessionsPerGroup is the number of top-ranked boxes of a group of engines to which sessions are
+// kept.
 const sessionsPerGroup = 2
 
-// State returns what is in force on this box, for its peers.
+// State returns the state of this box that is reported to its peers.
 func (g *Gateway) State() peer.State {
 	return peer.State{
 		Leaving:   g.stopping.Load(),
@@ -137,9 +137,8 @@
 	return directory
 }
 
-// encodeEndpoint converts an entry to its message. An entry in its grace period is also marked
-// as gone, because boxes of earlier releases do not read LapsesIn and would use the endpoint
-// for ever.
+// encodeEndpoint encodes an entry. An entry in its grace period is also marked as gone, because
+// boxes of earlier releases do not read LapsesIn and would use the endpoint for ever.
 func encodeEndpoint(entry *registry.Entry, now time.Time) *peerpb.Endpoint {
 	graceLeft := time.Duration(0)
 	if !entry.GraceEnd.IsZero() {
@@ -162,7 +161,7 @@
 	}
 }
 
-// decodeEntry is the reverse of encodeEndpoint.
+// decodeEntry is the inverse of encodeEndpoint.
 func decodeEntry(message *peerpb.Endpoint, now time.Time) registry.Entry {
 	graceEnd := time.Time{}
 	if message.LapsesIn > 0 {
@@ -186,7 +185,7 @@
 	}
 }
 
-// HandleUpdate applies an update from a peer.
+// HandleUpdate applies an update from a peer. first is set for the first one of a stream.
 func (g *Gateway) HandleUpdate(from peer.Sender, state peer.State, first bool) {
 	if g.fleet.HandleUpdate(from, state) {
 		g.exchange.SendSoon()
@@ -202,7 +201,7 @@
 	if g.rollouts.applyVerdicts(state.Rollouts, time.Now()) {
 		g.exchange.SendNow()
 	}
-	// New departures change the directory, which is then reported to the other peers.
+	// A new departure changes the directory, and the change is reported to the other peers.
 	g.registry.OfferDepartures(state.Departures, from.Box, time.Now())
 	if state.Revision > g.catalogVersion() && g.catalogFetcher.addSource(from.Box, state.Revision) {
 		g.work.Go(g.catalogFetcher.run)
@@ -225,16 +224,16 @@
 // ordersVersion returns the version of the operator's orders in force.
 func (g *Gateway) ordersVersion() uint64 { return uint64(g.registry.OrdersVersion()) }
 
-// fetchCatalog fetches a newer configuration from a peer that reported it, so that it spreads
-// even while the store is unreachable.
+// fetchCatalog fetches a newer configuration from a peer that reported it. Thus it spreads even
+// while the store is unreachable.
 func (g *Gateway) fetchCatalog(from string, version uint64) {
 	snapshot, err := g.exchange.FetchSettingsFrom(from, version)
 	if err != nil {
 		g.Logs.For(logflags.Peer).Warn("configuration not taken from peer", zap.String("Peer", from), zap.Error(err))
 		return
 	}
-	// A box with a configuration serves requests, so the orders and the quarantine are applied
-	// first.
+	// The configuration is applied last: a box that has one serves requests, and must not do so
+	// without the orders and the quarantine.
 	g.offerOrders(snapshot.Orders, from)
 	g.ledger.Merge(peer.DecodeEnds(snapshot.Ends), from, time.Now())
 	g.registry.OfferDepartures(peer.DecodeDepartures(snapshot.Departures), from, time.Now())
--- a/pkg/gateway/pending.go
+++ b/pkg/gateway/pending.go
@@ -10,7 +10,8 @@
 type pending struct {
 	// remote is the stream on which the dispatcher was asked; nil for the pool of this box.
 	remote *remote
-	// askedAt is when another box was asked; responded is set by its first response.
+	// askedAt is when another box was asked; responded is set by its first response, which
+	// reports either a verdict or that the request is queued.
 	askedAt   time.Time
 	responded bool
 	// queued signals that the request is in the queue of the dispatcher. Capacity 1.
@@ -32,13 +33,13 @@
 	// wait is the predicted time until the engine begins to read the prompt, and readTime the
 	// predicted time for reading it.
 	wait, readTime time.Duration
-	// missingTokens are the tokens of shared prompt parts that the engine has to read again.
+	// missingTokens are the tokens of shared prompt parts that the engine does not have cached.
 	missingTokens int
 	// decidedBy is the name of the box that decided.
 	decidedBy string
 }
 
-// resolvePending passes a verdict to the request that waits for it. It reports whether there
+// resolvePending delivers a verdict to the request that waits for it. It reports whether there
 // was one. The caller holds the lock.
 func (s *scheduler) resolvePending(id string, from *remote, v verdict) bool {
 	p := s.pending[id]
--- a/pkg/gateway/plain.go
+++ b/pkg/gateway/plain.go
@@ -14,7 +14,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// servePlain serves a request to a plain service. Such requests do not queue: this box selects
+// servePlain serves a request to a plain service. Such requests are not queued: this box selects
 // an endpoint by its own measurements.
 func (c *call) servePlain() *request.Refusal {
 	for {
@@ -48,14 +48,14 @@
 // errEndpointError reports an error status of the endpoint that is not forwarded.
 var errEndpointError = &unusableError{reason: "the endpoint answered with an error of its own"}
 
-// canRetryElsewhere reports whether the answer is an error that another endpoint may not return
-// and the request may be repeated.
+// canRetryElsewhere reports whether the response is an error that another endpoint may not
+// return, and the request may be retried.
 func (c *call) canRetryElsewhere(response *endpoint.Response) bool {
 	return response.Head.StatusCode() >= fasthttp.StatusInternalServerError && c.route.Repeatable &&
 		c.lifecycle.Attempts() < c.route.MaxAttempts && c.ctx.Err() == nil && c.gateway.budget.canTake(c.service.Name)
 }
 
-// settlePlain records a whole answer of a plain endpoint.
+// settlePlain records a complete response of a plain endpoint.
 func (c *call) settlePlain(to destination, good bool, took time.Duration) {
 	result := outcomeFailed
 	if good {
@@ -66,8 +66,8 @@
 	to.finishTimed(result, took)
 }
 
-// choosePlain selects an endpoint for a request to a plain service. The caller settles the
-// attempt through the returned destination.
+// choosePlain selects an endpoint for a request to a plain service. The caller has to record the
+// outcome through the returned destination.
 func (c *call) choosePlain() (to destination, refusal *request.Refusal) {
 	endpoints := c.gateway.registry.Directory().EndpointsOf(c.service.Name)
 	if len(c.zones) > 0 {
@@ -79,7 +79,8 @@
 	endpoints = c.allowedEndpoints(endpoints)
 	chosen, state := c.gateway.health.choose(endpoints, c.excluded, c.gateway.Settings.Zone)
 	if state == nil && len(c.excluded) > 0 {
-		// Every endpoint has failed this request once; trying one again is better than refusing.
+		// Every endpoint has failed this request once; a second attempt at one of them is better
+		// than a refusal.
 		c.excluded = nil
 		chosen, state = c.gateway.health.choose(endpoints, nil, c.gateway.Settings.Zone)
 	}
@@ -97,7 +98,7 @@
 	}, nil
 }
 
-// refusePlain refuses a request that no endpoint takes. If all rest, it asks the caller to
+// refusePlain refuses a request that no endpoint takes. If endpoints rest, the caller is asked to
 // retry when the first rest ends.
 func (c *call) refusePlain(endpoints []route.Endpoint) *request.Refusal {
 	now := time.Now()
--- a/pkg/gateway/pool.go
+++ b/pkg/gateway/pool.go
@@ -14,11 +14,11 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// pool holds the engines of one service, partitioned into groups so that no box has to dispatch
-// for more engines than it can handle. Every box partitions them in the same way: the group of
-// an engine follows from its ID, and the group of a prompt from the part that determines its
-// placement. A box keeps state only for the groups that its own requests use or for which it
-// dispatches.
+// pool holds the engines of one service. They are partitioned into groups, because a box can
+// dispatch only for a limited number of engines. Every box partitions them in the same way: the
+// group of an engine follows from its ID, and the group of a prompt from the part that
+// determines its placement. A box keeps state only for the groups that its own requests use or
+// for which it dispatches.
 type pool struct {
 	gateway *Gateway
 	name    string
@@ -26,7 +26,7 @@
 	mu sync.Mutex
 	// groups are the groups in use on this box, by number; the others are nil.
 	groups []*scheduler
-	// weights are the numbers of engines of the groups, and engines is their sum.
+	// weights holds the number of engines of each group, and engines their sum.
 	weights []int
 	engines int
 	// retired are groups that a repartition removed, kept for the requests that still run
@@ -39,21 +39,21 @@
 	histories       *histories
 	// directory is the version from which weights and groups were computed.
 	directory *route.Directory
-	// mismatchSince is since when the number of engines has required another number of groups;
+	// mismatchSince is when the number of engines began to require another number of groups;
 	// zero while it does not.
 	mismatchSince time.Time
 }
 
 const (
 	// repartitionDelay is how long the number of engines has to require another number of
-	// groups before they are repartitioned, since nearly all prompt parts then have to be read
-	// again by other engines. It outlasts the seconds in which crashed engines are still listed
-	// beside their replacements.
+	// groups before they are repartitioned. A repartition is expensive: nearly all prompt parts
+	// then have to be read again by other engines. The delay is longer than the seconds in which
+	// crashed engines are still listed beside their replacements.
 	repartitionDelay = 15 * time.Second
 	// maxPersistentGroups is the number of groups up to which sessions to their dispatchers are
-	// persistent. With more groups a box rarely asks any one of them, and opens a session only
-	// while it does: persistent sessions would grow with the pool on each box, and with the
-	// fleet on each dispatcher.
+	// persistent. With more groups a box rarely asks the dispatcher of any one of them, and has a
+	// session to it only while it does: the number of persistent sessions would grow with the pool
+	// on each box, and with the fleet on each dispatcher.
 	maxPersistentGroups = 4
 	// groupIdleTimeout is how long an unused group is kept.
 	groupIdleTimeout = 5 * time.Second
@@ -87,8 +87,8 @@
 // dispatchers. The caller holds the lock.
 func (p *pool) isPersistent() bool { return len(p.groups) <= maxPersistentGroups }
 
-// groupTokenRate returns a group's part of the token rate of the whole pool. The caller holds
-// the lock.
+// groupTokenRate returns a group's share of the token rate of the pool. The caller holds the
+// lock.
 func (p *pool) groupTokenRate(group int) float64 {
 	return p.tokensPerSecond * float64(p.weights[group]) / float64(max(1, p.engines))
 }
@@ -119,8 +119,8 @@
 	}
 }
 
-// countEndpoint adds by to the engine counts for an entry of this pool, and marks its group as
-// touched. The caller holds the lock.
+// countEndpoint adds delta to the engine counts for an entry of this pool, and adds its group to
+// affected. The caller holds the lock.
 func (p *pool) countEndpoint(endpoint *route.Endpoint, delta int, affected map[int]bool) {
 	if endpoint == nil || endpoint.Service != p.name || endpoint.Leaving {
 		return
@@ -140,8 +140,8 @@
 	return members
 }
 
-// groupCount returns the number of groups to use. It follows a change of the number of engines
-// after repartitionDelay.
+// groupCount returns the number of groups that should be in use: another one than now only after
+// the number of engines has required it for repartitionDelay.
 func (p *pool) groupCount(now time.Time) int {
 	wanted, current := partition.Count(p.engines), len(p.groups)
 	if wanted == current || current == 0 {
@@ -207,7 +207,7 @@
 	return p.ensureGroup(partition.GroupOf(req.PlacementKey(), p.weights))
 }
 
-// applyRest informs the group of an engine that the engine rests from this box.
+// applyRest records in the group of an engine that the engine rests from this box.
 func (p *pool) applyRest(rest lifecycle.Rest) {
 	p.mu.Lock()
 	resting, known := p.directory.Find(rest.Endpoint)
@@ -229,7 +229,7 @@
 }
 
 // dropIdleGroups removes the groups that have not been used for groupIdleTimeout, unless the
-// pool has few of them: the state of a box then depends on its own requests alone.
+// pool has few of them. Thus what a box keeps of a large pool depends on its own requests alone.
 func (p *pool) dropIdleGroups(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/gateway/prefixcache.go
+++ b/pkg/gateway/prefixcache.go
@@ -24,12 +24,12 @@
 	maxConcurrentLists = 12
 )
 
-// learnPromptCaches asks the engines once for their cached parts, if a box that has just
-// started is the dispatcher and no other box has sent them. After all boxes were gone, prompts
-// would otherwise be read again at other engines, or be assumed to be cached where they are
-// not. A box that does not yet know the fleet may take itself for the dispatcher, so it waits:
-// when 295 boxes all asked 301 engines, it took a box 1.3 s, in which it was short of
-// processor time. The lock is held.
+// learnPrefixCaches asks the engines once for their cached parts, if this box has just started,
+// is the dispatcher and no other box has sent them. After a restart of the whole fleet, prompts
+// would otherwise be sent to other engines and read again there, or be assumed to be cached at
+// engines that do not have them. A box that has not yet received the state of the fleet may
+// consider itself the dispatcher, so it waits: when 295 boxes all asked 301 engines, it took a
+// box 1.3 s, in which it was short of processor time. The caller holds the lock.
 func (s *scheduler) learnPrefixCaches() {
 	if s.cachesKnown || !s.pool.Warm {
 		return
@@ -47,10 +47,12 @@
 	})
 }
 
-// settledCheckInterval is the time between two checks of whether this box knows the fleet.
+// settledCheckInterval is the time between two checks of whether this box's view of the fleet is
+// complete.
 const settledCheckInterval = 50 * time.Millisecond
 
-// awaitSettled waits until this box knows the fleet. It reports false if the box stops first.
+// awaitSettled waits until this box's view of the fleet is complete. It reports false if the box
+// stops first.
 func (s *scheduler) awaitSettled() bool {
 	for !s.gateway.fleet.IsSettled(time.Now()) {
 		if interval.Wait(s.gateway.workContext, settledCheckInterval) != nil {
@@ -100,7 +102,7 @@
 		zap.Duration("Took", time.Since(began)))
 }
 
-// listPromptCache asks one engine for its cached parts.
+// listPrefixCache asks one engine for its cached parts.
 func (g *Gateway) listPrefixCache(engine route.Endpoint) (cached dispatch.CachedParts, err error) {
 	defer func() { err = trace.Wrap(err, "listing the cached parts of engine %s", engine.ID) }()
 	ctx, cancel := context.WithTimeout(g.workContext, listTimeout)
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -17,12 +17,12 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errQuarantined ends an attempt before anything was sent, as too many endpoints have ended
-// under the request in the meantime.
+// errQuarantined ends an attempt before anything was sent, because too many endpoints have in
+// the meantime ended while they ran the request.
 var errQuarantined = errors.New("too many endpoints have ended under the request")
 
-// refuseQuarantined refuses a request under which too many endpoints have ended, at whatever
-// box; nil if it may be sent.
+// refuseQuarantined refuses a request if too many endpoints have ended while they ran it for any
+// of the boxes. It returns nil if the request may be sent.
 func (c *call) refuseQuarantined() *request.Refusal {
 	now := time.Now()
 	status := c.gateway.ledger.Check(c.fingerprint, now)
@@ -33,8 +33,9 @@
 	return notRun(request.Quarantined, message, status.Until.Sub(now))
 }
 
-// exposableEndpoints returns the endpoints that a request may be sent to. Once an endpoint has
-// ended under it, this box runs it at no more endpoints at once than may still end.
+// allowedEndpoints returns the endpoints that a request may be sent to. Once an endpoint has
+// ended while it ran the request, this box runs it at no more endpoints at once than the number
+// of ends that is left before its quarantine.
 func (c *call) allowedEndpoints(endpoints []route.Endpoint) []route.Endpoint {
 	status := c.gateway.ledger.Check(c.fingerprint, time.Now())
 	if status.Ends == 0 {
@@ -47,7 +48,7 @@
 	return slices.DeleteFunc(endpoints, func(e route.Endpoint) bool { return !running[e.ID] })
 }
 
-// clearFingerprint records that the request was answered completely, so that it is not the
+// clearFingerprint records that an endpoint completed the request, which is therefore not the
 // cause of the ends.
 func (c *call) clearFingerprint(response *endpoint.Response) {
 	if !response.IsFramed() {
@@ -59,14 +60,14 @@
 	}
 }
 
-// publishEnds sends a changed ledger to the other boxes and the store.
+// publishEnds sends the changes of the ledger to the other boxes and the store.
 func (g *Gateway) publishEnds() {
 	g.exchange.SendNow()
 	g.registry.PersistQuarantine()
 }
 
-// classifyBroken returns what a broken attempt says about its endpoint. If the endpoint ended,
-// it records the end.
+// recordBroken returns the outcome of a broken attempt. If the endpoint ended, it records the
+// end.
 func (c *call) recordBroken(to destination, err error) outcome {
 	if !hasEnded(to.Endpoint, c.gateway.registry.Directory(), err) {
 		return outcomeFailed
@@ -87,11 +88,11 @@
 }
 
 // hasEnded reports whether an attempt broke because its endpoint ended. A connection that the
-// other side closed in the middle of an answer counts as an end at once: a deadly request is
-// repeated within milliseconds, and the entry of an ended endpoint is removed only three
-// seconds later. If the endpoint turns out to be alive, retractEnds corrects this. A leaving
-// endpoint ends as planned, and a silent one has ended only if its entry is gone as well or it
-// has restarted.
+// endpoint closed in the middle of a response counts as an end at once: a request that crashes
+// endpoints is retried within milliseconds, and the entry of an ended endpoint is removed only
+// three seconds later. If the endpoint turns out to be alive, retractEnds corrects this. A
+// leaving endpoint ends as planned. One that only stopped sending has ended only if its entry is
+// gone as well or it has restarted.
 func hasEnded(chosen route.Endpoint, directory *route.Directory, err error) bool {
 	current, listed := directory.Find(chosen.ID)
 	switch {
@@ -107,29 +108,29 @@
 	return false
 }
 
-// isConnectionLost reports whether the other side ended the connection in the middle of an
-// answer.
+// isConnectionLost reports whether the endpoint ended the connection in the middle of a
+// response.
 func isConnectionLost(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
 const (
-	// retractDelay is how long after an answer broke off its endpoint must still be listed
-	// for the end to be retracted: an endpoint's entry is removed after three heartbeats of
-	// some 1.2 s, a poll of the entries takes as long, and an entry removed during an outage
-	// of the store is used for two more seconds.
+	// retractDelay is how long after a broken response its endpoint must still be listed for the
+	// end to be retracted: an endpoint's entry is removed after three heartbeats of some 1.2 s,
+	// a poll of the entries takes as long, and an entry removed during an outage of the store
+	// is used for two more seconds.
 	retractDelay = 8 * time.Second
-	// unconfirmedEndTTL is after which time an end that was neither confirmed nor retracted
-	// stands.
+	// unconfirmedEndTTL is the age from which an end that was neither confirmed nor retracted
+	// counts as confirmed.
 	unconfirmedEndTTL = time.Minute
 	// endCheckInterval is the time between two checks of the unconfirmed ends, and
-	// ledgerExpiryInterval that between two scans for expired ones: after a crash of a zone
-	// these scan thousands, which takes a millisecond.
+	// ledgerExpiryInterval that between two scans of the ledger for expired ones: after a crash
+	// of an availability zone these go through thousands, which takes a millisecond.
 	endCheckInterval     = 500 * time.Millisecond
 	ledgerExpiryInterval = 10 * time.Second
 )
 
-// unconfirmedEnds are the endpoints that this box assumes to have ended, until that is
+// unconfirmedEnds holds the endpoints that this box assumes to have ended, until that is
 // certain.
 type unconfirmedEnds struct {
 	mu         sync.Mutex
@@ -139,7 +140,8 @@
 type unconfirmedEnd struct {
 	endpoint route.Endpoint
 	at       time.Time
-	// polls is the number of the last poll of the entries that came too early to count.
+	// polls is the number of the last poll of the entries that was too early to show whether the
+	// endpoint is alive.
 	polls uint64
 }
 
@@ -152,7 +154,8 @@
 	u.byInstance[instance] = &unconfirmedEnd{endpoint: endpoint, at: now, polls: polls}
 }
 
-// resolve returns the endpoints that turn out to be alive, by the registry's directory.
+// resolve removes the ends that are certain by now, and returns the endpoints that turned out to
+// be alive.
 func (u *unconfirmedEnds) resolve(directory *route.Directory, polls uint64, now time.Time) (alive []quarantine.Instance) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -15,7 +15,7 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// engineAt is an endpoint whose instance has a start time.
+// engineBornAt returns an endpoint whose instance has a start time.
 func engineBornAt(born int64) route.Endpoint {
 	return route.Endpoint{ID: "engine", Address: "10.0.0.1:1", Facts: lifecycle.Facts{Born: born}}
 }
@@ -47,7 +47,7 @@
 		"silence of an endpoint whose entry is gone":          {engineBornAt(1), directoryOf(), errStalled, true},
 		"silence of an endpoint that restarted":               {engineBornAt(1), directoryOf(engineBornAt(2)), syscall.ETIMEDOUT, true},
 		"an entry that shows a restart":                       {engineBornAt(1), directoryOf(engineBornAt(2)), errRestarted, true},
-		"an unusable answer":                                  {engineBornAt(1), directoryOf(engineBornAt(1)), &unusableError{reason: "no signature"}, false},
+		"an unusable response":                                {engineBornAt(1), directoryOf(engineBornAt(1)), &unusableError{reason: "no signature"}, false},
 		"an error that is not of the connection":              {engineBornAt(1), directoryOf(engineBornAt(1)), errors.New("other"), false},
 	} {
 		Convey("It is determined whether an endpoint ended by "+name, t, func() {
--- a/pkg/gateway/rank.go
+++ b/pkg/gateway/rank.go
@@ -10,8 +10,8 @@
 	"github.com/quaylead/quaylead/pkg/partition"
 )
 
-// rank returns the boxes in the order in which they may dispatch for the group. It ranks them
-// again only if the fleet changed. The caller holds the lock.
+// rank returns the boxes in the order in which they may dispatch for the group. It computes the
+// order only if the fleet changed. The caller holds the lock.
 func (s *scheduler) rank() []partition.Ranked {
 	g := s.gateway
 	candidates := g.fleet.Candidates(time.Now())
@@ -41,9 +41,9 @@
 }
 
 // dispatcher returns the box to ask for the group: the first live one that is not suspected
-// and, with persistent sessions, to which a session exists. A box without a session is not
-// marked as suspected: when all boxes start together, each would skip most of the others for
-// 1.5 s, and for as long several boxes would dispatch for the same engines.
+// and, with persistent sessions, to which a session exists. A box without a session is skipped
+// but not suspected: when all boxes start together, each would otherwise skip most of the others
+// for 1.5 s, and several boxes would dispatch for the same engines meanwhile.
 func (s *scheduler) dispatcher() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,15 +63,16 @@
 	return g.Settings.Name
 }
 
-// isContested reports whether other boxes may dispatch for the group as well: this one does not
-// rank first, even if it suspects the one that does. The caller holds the lock.
+// isContested reports whether other boxes may dispatch for the group as well: this one is
+// stopping or does not rank first, even if it suspects the box that does. The caller holds the
+// lock.
 func (s *scheduler) isContested() bool {
 	g := s.gateway
 	return g.stopping.Load() || s.rank()[0].Name != g.Settings.Name
 }
 
-// maxListedOnly bounds the boxes that are tried although the store only lists them: after a
-// start they may all be gone.
+// maxListedOnly bounds the boxes to which sessions are opened although the store only lists them
+// and no peer has reported them alive: after a start they may all be gone.
 const maxListedOnly = 4
 
 // wantedSessions returns the boxes to which the group needs sessions: the one that is asked
--- a/pkg/gateway/remote.go
+++ b/pkg/gateway/remote.go
@@ -20,8 +20,8 @@
 // errStreamEnded reports that the stream ended while a request waited for its verdict.
 var errStreamEnded = errors.New("the stream to the dispatcher ended")
 
-// errLateResponse reports that the dispatcher responded to other requests but not to this one:
-// it is alive.
+// errLateResponse reports that the dispatcher responded to other requests but not to this one. A
+// dispatcher that is alive is not suspected for that.
 var errLateResponse = errors.New("the response of the dispatcher is late")
 
 // errAbsentEngines reports that the dispatcher grants engines that are absent.
@@ -82,10 +82,10 @@
 
 // shouldKeepWaiting reports whether a request whose response is overdue waits longer: the
 // dispatcher has responded to other requests since, or this box itself is late and may not have
-// read the response yet. Asking another box would only add load, as all running requests have
-// to be reported to it. For a request that is already in the queue only verdicts count: a
-// dispatcher that queues everything and decides nothing is of no use, and without this rule
-// each request there waited for a second in vain.
+// read the response yet. Asking another box would only add load, because all running requests
+// have to be reported to it. For a request that is already queued only verdicts count: a
+// dispatcher that queues everything and decides nothing is of no use, and without this rule each
+// of its requests waited for a second in vain.
 func (s *scheduler) shouldKeepWaiting(r *remote, p *pending, due time.Time, timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +122,8 @@
 }
 
 // connect returns the stream to the dispatcher. Requests that arrive while it is being opened
-// wait for the same one: of two streams opened at once one would be closed sameIncarnation, and the other
-// box would drop the requests that it holds for that stream.
+// wait for the same one: of two streams that are opened at once, one would be closed, and the
+// other box would drop the requests that it holds for that stream.
 func (s *scheduler) connect(ctx context.Context, box string) (*remote, error) {
 	o, open := s.startOpening(box)
 	if open != nil {
@@ -145,9 +145,9 @@
 // opening one takes one round trip, about a millisecond.
 const streamOpenTimeout = minResponseTimeout
 
-// sessionOpenTimeout bounds the wait for a session where none exists: a few round trips between
+// sessionOpenTimeout bounds the wait for a new session, which takes a few round trips between
 // availability zones. After two unreachable boxes there is still time to decide locally before
-// the request has waited for its part of the latency target.
+// the request has waited for MaxWaitFraction of its latency target.
 const sessionOpenTimeout = minResponseTimeout
 
 // startOpening returns the open stream to a box, or the one that is being opened, which it
@@ -207,8 +207,8 @@
 	return g.exchange.OpenDispatch(box, s.groupName)
 }
 
-// setRemote makes a box the dispatcher to ask, and sends it the rests, cached parts, running
-// requests and recent grants that it needs to decide. The caller holds the lock.
+// setRemote sets the dispatcher to ask, and sends it the rests, cached parts, running requests
+// and recent grants that it needs for its decisions. The caller holds the lock.
 func (s *scheduler) setRemote(r *remote) {
 	if s.remote != nil {
 		s.remote.stream.Close()
@@ -314,8 +314,9 @@
 	}
 }
 
-// startServing registers a stream and returns its number. What is requested on a stream is
-// answered on it and dropped with it, whatever other streams the same box opens and closes.
+// startServing registers a stream and returns its number. Requests that arrive on a stream get
+// their verdicts on it and are dropped with it, whatever other streams the same box opens and
+// closes.
 func (s *scheduler) startServing(from peer.Sender, stream *peer.DispatchStream) (streamID uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -330,7 +331,8 @@
 	return s.lastStream
 }
 
-// groupNamed returns the group of engines with a name as used between boxes.
+// groupNamed returns the group of engines with a name as used between boxes; nil if there is
+// none.
 func (g *Gateway) groupNamed(name string) *scheduler {
 	service := name[:max(0, strings.LastIndexByte(name, '/'))]
 	p := g.pool(service)
@@ -340,7 +342,7 @@
 	return p.groupNamed(name)
 }
 
-// stopServing drops what a box had waiting and running on a stream.
+// stopServing drops a stream with its waiting and running requests.
 func (s *scheduler) stopServing(from peer.Sender, streamID uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -353,7 +355,7 @@
 		zap.Uint64("Stream", streamID))
 }
 
-// handle handles one message of a box that asks this one.
+// handleCall handles one message of a box that asks this one.
 func (s *scheduler) handleCall(streamID uint64, call *peerpb.Call, stream *peer.DispatchStream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -388,9 +390,9 @@
 	s.decide()
 }
 
-// recordServed records what the requests of a router were granted by another dispatcher. If the
-// router asked this box within the share window, its grants are already recorded here and would
-// count twice. The caller holds the lock.
+// recordGrantTotal records what the requests of a router were granted by another dispatcher. If
+// the router asked this box within the share window, its grants are already recorded here and
+// would count twice. The caller holds the lock.
 func (s *scheduler) recordGrantTotal(streamID uint64, served *peerpb.Served, now time.Time) {
 	r := s.streams[streamID]
 	if r == nil || now.Sub(s.streamEndedAt[r.box]) < s.pool.Rules.Window {
@@ -399,8 +401,8 @@
 	s.pool.AddHistory(dispatch.GrantTotal{Customer: served.Customer, Route: served.Route, Tokens: float64(served.Tokens)}, now)
 }
 
-// handleRequest takes a request of another box: one that runs already, which has an engine, or
-// one that waits for a verdict. The caller holds the lock.
+// handleRequest handles a request of another box: one that already runs at an engine, or one
+// that waits for a verdict. The caller holds the lock.
 func (s *scheduler) handleRequest(streamID uint64, message *peerpb.Ask, stream *peer.DispatchStream, now time.Time) {
 	req := decodeRequest(message, streamID, now)
 	if message.Endpoint != "" {
--- a/pkg/gateway/remote_test.go
+++ b/pkg/gateway/remote_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestWaitsOn checks requests 80 ms after they were asked, and later: a request must not leave
-// a dispatcher that is alive, nor wait for one that hangs.
+// TestWaitsOn checks requests from 80 ms after they were sent to a dispatcher: a request must not
+// leave one that is alive, nor wait for one that hangs.
 func TestWaitsOn(t *testing.T) {
 	const timeout = 80 * time.Millisecond
 	for _, is := range []struct {
--- a/pkg/gateway/response_time.go
+++ b/pkg/gateway/response_time.go
@@ -3,18 +3,18 @@
 import "time"
 
 // responseTimes estimates how long dispatchers take for the first response to a request. A
-// router that is itself late also reads responses late, and has to wait longer before it
-// assumes that the dispatcher hangs. It is not safe for concurrent use.
+// router that is itself slow also reads responses late, and has to wait longer before it assumes
+// that the dispatcher hangs. It is not safe for concurrent use.
 type responseTimes struct {
 	mean time.Duration
-	// timedOut are the times at which requests were asked whose response did not come in time;
-	// a response that arrives later shows that the timeout was too short.
+	// timedOut holds when the requests were sent whose response did not arrive in time, by ID; a
+	// response that arrives later shows that the timeout was too short.
 	timedOut map[string]time.Time
 }
 
 const (
-	// minResponseTimeout is for responses that take about 2 ms: a box with a processor quota
-	// may be stopped for most of a tenth of a second.
+	// minResponseTimeout is far longer than the 2 ms that a response usually takes: a box with a
+	// processor quota may be stopped for most of a tenth of a second.
 	minResponseTimeout = 80 * time.Millisecond
 	// latencyTargetDivisor divides the latency target of a request; its response may take at
 	// least the quotient. Under a flood of requests a dispatcher is now and then stopped for
@@ -28,12 +28,11 @@
 	latencyTargetDivisor = 3
 	// maxResponseTimeout leaves time to decide locally within the latency target. It applies in
 	// full to a dispatcher that has not responded yet: when a whole fleet switches to a box,
-	// that box has hundreds of streams to open, and leaving it only moves them on to the next
-	// one.
+	// that box has hundreds of streams to open, and leaving it only moves them to the next one.
 	maxResponseTimeout = 300 * time.Millisecond
 	// meanFactor times the mean response time is the timeout, within the bounds above.
 	meanFactor = 4
-	// responseGain is the weight of the newest response in the mean.
+	// responseWeight is the weight of the newest response in the mean.
 	responseWeight = 0.1
 	// maxTimedOut bounds timedOut, as some responses never arrive.
 	maxTimedOut = 1000
@@ -49,7 +48,7 @@
 	r.mean += time.Duration(responseWeight * float64(took-r.mean))
 }
 
-// recordTimeout records a request whose response did not come in time.
+// recordTimeout records a request whose response did not arrive in time.
 func (r *responseTimes) recordTimeout(id string, asked time.Time) {
 	if r.timedOut == nil || len(r.timedOut) >= maxTimedOut {
 		r.timedOut = map[string]time.Time{}
--- a/pkg/gateway/rests.go
+++ b/pkg/gateway/rests.go
@@ -11,11 +11,11 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// errRestTooLong reports a rest that is longer than lifecycle.MaxRest.
+// errRestTooLong reports a rest longer than lifecycle.MaxRest.
 var errRestTooLong = errors.New("the rest is longer than the maximum")
 
-// rests are the times until which endpoints want no requests from this box, as they requested
-// in their answers (Retry-After).
+// rests holds until when endpoints want no requests from this box, as they asked in their
+// responses (Retry-After).
 type rests struct {
 	mu        sync.Mutex
 	requested lifecycle.Rests
@@ -56,8 +56,8 @@
 	return r.requested.All(now)
 }
 
-// handleSelfReport applies what an endpoint reports about itself in the head of an answer. It
-// is called before the answer is processed further, so that it applies to the next request.
+// handleSelfReport applies the self report of an endpoint in the head of a response. It is called
+// before the response is processed further, because the next request may already depend on it.
 func (c *call) handleSelfReport(to destination, info ResponseInfo) {
 	if !info.hasSelfReport() {
 		return
@@ -68,25 +68,25 @@
 		zap.String("GrantedBy", to.granted.decidedBy)))
 }
 
-// hasSelfReport reports whether an endpoint reports something about itself in an answer; few
-// answers do.
+// hasSelfReport reports whether a response contains a self report, as few do.
 func (a *ResponseInfo) hasSelfReport() bool {
 	return a.Leaving || a.Rest > 0 || a.RestProblem != nil
 }
 
-// handleSelfReport is called for every answer of an endpoint, whether to a caller's request or
-// to one of this box's own.
+// handleSelfReport applies the self report in a response to a caller's request or to one of this
+// box's own.
 func (g *Gateway) handleSelfReport(from *route.Endpoint, info ResponseInfo, log *zap.Logger) {
 	now := time.Now()
 	if info.Leaving {
-		// The row of an unlisted endpoint may reappear unchanged.
+		// A departure is also recorded for an endpoint that is not listed: its row may reappear
+		// unchanged.
 		if known, listed := g.registry.Directory().Find(from.ID); !listed || !known.Leaving {
 			g.registry.RecordDeparture(from, now)
 		}
 	}
 	length, problem := restOf(info)
 	if problem != nil {
-		// The default rest of a full endpoint applies instead.
+		// The endpoint declined the request, after which it gets no work for a default time.
 		log.Warn("rest that an endpoint asks for not taken",
 			zap.String("Endpoint", from.ID),
 			zap.Duration("Rest", info.Rest),
@@ -97,7 +97,7 @@
 	}
 }
 
-// restOf returns the rest that an answer requests; 0 means none.
+// restOf returns the length of the rest that a response asks for; 0 means none.
 func restOf(info ResponseInfo) (length time.Duration, problem error) {
 	switch {
 	case info.RestProblem != nil:
@@ -108,7 +108,7 @@
 	return info.Rest, nil
 }
 
-// recordRest stops sending requests to an endpoint until its rest ends.
+// recordRest records a rest; until it ends this box sends the endpoint nothing.
 func (g *Gateway) recordRest(rest lifecycle.Rest, service string, log *zap.Logger) {
 	now := time.Now()
 	if !g.rests.record(rest, now) {
--- a/pkg/gateway/rests_test.go
+++ b/pkg/gateway/rests_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// countTakes takes retries until the budget is empty and returns their number.
+// countTakes takes retries until the budget is spent and returns their number.
 func countTakes(b *retryBudget) (count int) {
 	for {
 		if _, ok := b.take("api"); !ok {
--- a/pkg/gateway/rollouts.go
+++ b/pkg/gateway/rollouts.go
@@ -21,16 +21,16 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// rollouts moves services to another version of their endpoints, as the operator orders it.
+// rollouts moves services to another version of their endpoints, as ordered by the operator.
 // While a version is being proved, only some boxes, the provers, send to it. The first of them
-// collects the counts of the others and decides. Its verdict spreads from box to box through
+// collects the tallies of the others and decides. Its verdict spreads from box to box through
 // the updates between peers, and the final one is written to the store. Any box can decide,
-// because all of them count their own requests.
+// because all of them count the responses to their own requests.
 type rollouts struct {
 	gateway *Gateway
 	log     *zap.Logger
-	// activeCount is the number of orders in force. It spares requests the lock while there is
-	// none.
+	// activeCount is the number of orders in force. While it is 0, requests need not take the
+	// lock.
 	activeCount atomic.Int64
 
 	mu sync.Mutex
@@ -45,28 +45,28 @@
 	// targets and others are the numbers of endpoints of the target version and of other
 	// versions that admit requests.
 	targets, others int
-	// provers are the boxes that send to the target while it is proved; the first one decides.
-	// share is the fraction of this box's requests that goes to the target.
+	// provers are the boxes that send to the target while it is being proved; the first one
+	// decides. share is the fraction of this box's requests that go to the target meanwhile.
 	provers []string
 	share   float64
-	// tallies are the latest counts that the provers reported, by box.
+	// tallies are the latest ones that the provers reported, by box.
 	tallies map[string]rollout.Counts
 	// status is the row of the store as last read or written.
 	status     registry.RolloutStatus
 	statusRead bool
-	// checkUntil is until when the row of a finished roll-out is still checked: its order was
-	// written again after a restore of the store, or other boxes reported that it is finished.
+	// checkUntil is until when the row of a finished roll-out is still checked, because its order
+	// was rewritten after a restore of the store or other boxes reported that it is finished.
 	checkUntil time.Time
 }
 
 const (
-	// maxProvers bounds the boxes that send to a version while it is proved and that the
-	// deciding box asks, so that its work does not grow with the fleet.
+	// maxProvers bounds the boxes that send to a version while it is being proved. The deciding
+	// box asks each of them, and its work must not grow with the fleet.
 	maxProvers = 64
 	// rolloutInterval is the time between two checks of a roll-out, and so between two requests
 	// of the deciding box to the provers.
 	rolloutInterval = 250 * time.Millisecond
-	// completedTTL is how long endpoints of other versions get nothing after a roll-out has
+	// completedTTL is how long endpoints of other versions are sent nothing after a roll-out has
 	// completed. They end in that time; endpoints that appear later are not part of the order.
 	completedTTL = 10 * time.Second
 	// checkStatusTimeout is how long the row of a finished roll-out is still checked.
@@ -75,7 +75,7 @@
 	maxParallelFetches = 16
 )
 
-// follow replaces the active roll-outs by those of the operator's orders.
+// setOrders replaces the active roll-outs by those of the operator's orders.
 func (r *rollouts) setOrders(orders *route.Orders) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +90,7 @@
 }
 
 // rolloutOf returns the roll-out of an order. It continues the known one if that has the same
-// order or one that the order renews.
+// order or one that this order rewrites.
 func rolloutOf(order rollout.Order, known *activeRollout, now time.Time) *activeRollout {
 	switch {
 	case known != nil && known.Order.Version == order.Version:
@@ -110,7 +110,7 @@
 	return verdict.IsFinal() && now.After(a.checkUntil)
 }
 
-// pickSide picks at random, by the roll-out's share, which versions a request may go to.
+// pickVersions picks at random, by the roll-out's share, to which versions a request may go.
 func (r *rollouts) pickVersions(service string) rollout.VersionFilter {
 	if r.activeCount.Load() == 0 {
 		return rollout.VersionFilter{}
@@ -124,8 +124,9 @@
 	return a.versionsFor(rand.Float64(), time.Now())
 }
 
-// side returns the side for a random number from [0, 1). If only one side has endpoints and
-// neither is excluded, requests go to all.
+// versionsFor returns the versions for a random number from [0, 1): the target or all others. It
+// allows any version if only the target has endpoints and no verdict excludes it, or once the
+// roll-out is completed and no longer needs to exclude the others.
 func (a *activeRollout) versionsFor(drawn float64, now time.Time) rollout.VersionFilter {
 	verdict, since := a.Verdict()
 	target := rollout.VersionFilter{Version: a.Order.Target}
@@ -149,8 +150,8 @@
 	return others
 }
 
-// forbids reports whether a verdict since the endpoint was selected excludes it, so that
-// nothing may be sent to it any more.
+// forbids reports whether a verdict excludes the endpoint, possibly one that was made after the
+// endpoint had been selected. Nothing may be sent to it then.
 func (r *rollouts) forbids(endpoint *route.Endpoint) bool {
 	if r.activeCount.Load() == 0 {
 		return false
@@ -165,8 +166,8 @@
 	return verdict >= rollout.Halted && !a.versionsFor(0, time.Now()).Admits(endpoint.Release)
 }
 
-// recordAnswer counts an answer for the roll-out of its service. A took of 0 means that the
-// answer is no measure of the endpoint's speed.
+// recordResponse counts a response for the roll-out of its service. A took of 0 means that the
+// response is no measure of the endpoint's speed.
 func (r *rollouts) recordResponse(endpoint *route.Endpoint, routeName string, failed bool, took time.Duration) {
 	if r.activeCount.Load() == 0 {
 		return
@@ -193,7 +194,8 @@
 	return verdicts
 }
 
-// applyVerdicts applies verdicts of other boxes. It reports whether any was new.
+// applyVerdicts applies verdicts of other boxes. It reports whether any of them changed the
+// current one.
 func (r *rollouts) applyVerdicts(verdicts []rollout.VerdictReport, now time.Time) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,7 +229,7 @@
 	return true
 }
 
-// RolloutTally returns this box's counts of a roll-out, for the deciding box.
+// RolloutTally returns this box's tally of a roll-out, for the deciding box.
 func (g *Gateway) RolloutTally(service string) *peerpb.RolloutTally {
 	g.rollouts.mu.Lock()
 	defer g.rollouts.mu.Unlock()
@@ -238,7 +240,7 @@
 	return peer.EncodeRolloutTally(a.Order.Version, a.responses.Tallies(), g.attempts.countOtherReleases(service, a.Order.Target))
 }
 
-// proversToAsk returns the boxes that this one asks for their counts.
+// proversToAsk returns the boxes that this one asks for their tallies.
 func (r *rollouts) proversToAsk() (boxes []string) {
 	if r.activeCount.Load() == 0 {
 		return nil
@@ -298,7 +300,7 @@
 	return decided
 }
 
-// countSides counts the endpoints of both sides that admit requests.
+// countEndpoints counts the endpoints that admit requests, of the target and of other versions.
 func (a *activeRollout) countEndpoints(endpoints []route.Endpoint) {
 	a.targets, a.others = 0, 0
 	for i := range endpoints {
@@ -312,7 +314,7 @@
 	}
 }
 
-// decide collects the counts of the provers, decides, and writes the status to the store.
+// decide collects the tallies of the provers, decides, and writes the status to the store.
 func (r *rollouts) decide(ctx context.Context, a *activeRollout) {
 	if !a.statusRead && !r.readStatus(ctx, a) {
 		return
@@ -348,8 +350,8 @@
 	r.gateway.exchange.SendNow()
 }
 
-// evaluate decides by the counts of all provers. Running is this box's number of requests that
-// still run at other versions.
+// evaluate decides by the tallies of all provers. running is the number of this box's requests
+// that still run at other versions.
 func (a *activeRollout) evaluate(now time.Time, running int) rollout.Verdict {
 	counts := rollout.Counts{Routes: a.responses.Tallies(), OldRunning: running}
 	for _, reported := range a.tallies {
@@ -363,7 +365,7 @@
 	return a.Evaluate(counts, now)
 }
 
-// fetchTallies fetches the counts of the provers.
+// fetchTallies fetches the tallies of the provers.
 func (r *rollouts) fetchTallies(a *activeRollout) {
 	r.mu.Lock()
 	provers, service, order := a.provers, a.Order.Service, a.Order.Version
@@ -391,8 +393,8 @@
 	_ = group.Wait()
 }
 
-// readStatus reads what another box may have written to the store about this order. It reports
-// whether the read succeeded.
+// readStatus reads the row of the roll-out from the store, in which another box may have written
+// the verdict on this order. It reports whether the read succeeded.
 func (r *rollouts) readStatus(ctx context.Context, a *activeRollout) (ok bool) {
 	status, err := r.gateway.Store.RolloutStatus(ctx, a.Order.Service)
 	if err != nil {
@@ -425,7 +427,7 @@
 	}
 	written, err := r.gateway.Store.WriteRolloutStatus(ctx, wanted)
 	if err != nil {
-		// The write may have succeeded all the same.
+		// The write may have succeeded nevertheless.
 		r.log.Warn("status of a roll-out not written", zap.String("Service", a.Order.Service), zap.Error(err))
 	}
 	// The new version of the row is needed whether or not the write succeeded.
--- a/pkg/gateway/rollouts_test.go
+++ b/pkg/gateway/rollouts_test.go
@@ -22,7 +22,7 @@
 		So(of(rollout.Proving, 2, 2).versionsFor(0.5, now), ShouldResemble, others)
 		So(of(rollout.Proving, 0, 2).versionsFor(0.01, now), ShouldResemble, others)
 	})
-	Convey("Where only one side has endpoints and none is excluded, requests go to all", t, func() {
+	Convey("If only one side has endpoints and none is excluded, requests go to all", t, func() {
 		So(of(rollout.Proving, 2, 0).versionsFor(0.5, now), ShouldResemble, rollout.VersionFilter{})
 	})
 	Convey("A version that is halted or rolled back gets nothing", t, func() {
--- a/pkg/gateway/scale_test.go
+++ b/pkg/gateway/scale_test.go
@@ -35,7 +35,7 @@
 	return catalog, nil
 }
 
-// newTestBox returns a box without a network that was offered the given number of endpoints.
+// newTestBox returns a box without a network that has received the given number of endpoints.
 func newTestBox(t testing.TB, endpoints int) *Gateway {
 	g := &Gateway{
 		Settings: Settings{Name: "box-0", Zone: "zone-a", Cores: 0.2},
@@ -56,7 +56,7 @@
 	return g
 }
 
-// offerEndpoints offers endpoints to a box, as a peer does.
+// offerEndpoints gives a box entries of endpoints, as a peer does.
 func (g *Gateway) offerEndpoints(from, count int, version epoch.Version) {
 	entries := make([]registry.Entry, 0, count)
 	for i := range count {
@@ -73,7 +73,7 @@
 	g.registry.OfferEntries(entries, route.Knowledge{Known: last, Base: 1, Polls: uint64(last)}, "box-1")
 }
 
-// heap returns the bytes of the heap that are in use after a garbage collection.
+// heapInUse returns the bytes of the heap that are in use after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -92,7 +92,8 @@
 }
 
 const (
-	// fewEndpoints and manyEndpoints are the endpoints of fleets of 100 and of 1,000 boxes.
+	// fewEndpoints and manyEndpoints are the numbers of endpoints of fleets of 100 and of 1,000
+	// boxes.
 	fewEndpoints, manyEndpoints = 1000, 10000
 	// maxHeldBytes bounds the memory of manyEndpoints on a box that uses none of them, and
 	// maxBytesPerEndpoint that of each.
@@ -100,8 +101,8 @@
 	maxBytesPerEndpoint = 400
 )
 
-// TestBoxHoldsLittle checks that a box without requests keeps a table of the endpoints and no
-// more. A pool of engines for each group took 12.8 MB with 10,000 endpoints.
+// TestBoxHoldsLittle checks that a box without requests keeps only a table of the endpoints. When
+// it kept a pool of engines for each group, it used 12.8 MB with 10,000 endpoints.
 func TestBoxHoldsLittle(t *testing.T) {
 	Convey("A box keeps only a small row of each endpoint that it does not use", t, func() {
 		empty := heapInUse()
@@ -137,14 +138,14 @@
 }
 
 const (
-	// maxResentBytes bounds what one box sends another one of all endpoints, and
-	// maxReloadAllocation what the receiver allocates.
+	// maxResentBytes bounds the bytes that one box sends another one to report all endpoints, and
+	// maxReloadAllocation those that the receiver allocates.
 	maxResentBytes      = 768 << 10
 	maxReloadAllocation = 16 << 20
 )
 
-// TestRestoreIsToldOnce gives all rows a later epoch, as after a restore of the store that
-// changed none of them: they are sent once and change nothing.
+// TestRestoreIsToldOnce gives all rows a later epoch, as a restore of the store does that changes
+// none of them: they are sent once and do not change the directory.
 func TestRestoreIsToldOnce(t *testing.T) {
 	Convey("Another box receives all rows once, in parts, and its directory does not change", t, func() {
 		sender, receiver := newTestBox(t, manyEndpoints), newTestBox(t, manyEndpoints)
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -22,12 +22,13 @@
 
 // scheduler obtains grants for this box's requests to one group of engines. Any box can
 // dispatch for a group: all boxes ask the live one that ranks first, the dispatcher. Its grants
-// are advice only, and an engine's own answers take precedence, so two dispatchers at once, or
-// none, do no harm. A box that gets no response in time asks the next one, or decides locally.
+// are only advice, and the engines' own responses take precedence. Two dispatchers at once, or
+// none, therefore do no harm. A box that gets no response in time asks the next one, or decides
+// locally.
 type scheduler struct {
 	gateway *Gateway
-	// groupName is the name of the group, which includes the service's; poolName is the name of
-	// the service.
+	// groupName is the name of the group between boxes, which includes that of the service;
+	// poolName is the name of the service.
 	groupName   string
 	poolName    string
 	groupNumber int
@@ -36,7 +37,7 @@
 	assignment *partition.Assignment
 	log        *zap.Logger
 
-	// cancel ends the goroutine of the group.
+	// cancel ends runDecisions.
 	cancel context.CancelFunc
 	// usedAt is when the group was last used; guarded by the lock of its pool.
 	usedAt time.Time
@@ -44,9 +45,9 @@
 	mu sync.Mutex
 	// persistent groups always have sessions to the boxes that may dispatch for them.
 	persistent bool
-	// endpoints are the engines of the group. They are passed to the pool only when this box
-	// begins to decide, which poolReady records: most boxes of a large fleet never decide in
-	// most groups.
+	// endpoints are the engines of the group. They are set in the pool only when this box begins
+	// to decide, which poolReady records: most boxes of a large fleet never decide for most
+	// groups.
 	endpoints []route.Endpoint
 	poolReady bool
 	pool      *dispatch.Pool
@@ -58,10 +59,10 @@
 	streams map[uint64]*incomingStream
 	// lastStream is the highest number given to a stream; ownStream is the number of this box.
 	lastStream uint64
-	// leftAt is when each box last ended a stream on which it asked this one.
+	// streamEndedAt is when each box last ended a stream on which it asked this one.
 	streamEndedAt map[string]time.Time
 	// syncedIncarnation is the incarnation of the last dispatcher to which the cached parts
-	// were sent, so that a new stream to it need not send them again.
+	// were sent: they are not sent again on a new stream to the same one.
 	syncedIncarnation uint64
 	// requested and granted are the histories of this box's requests to the group;
 	// poolHistories sums them over all groups of the pool.
@@ -69,11 +70,11 @@
 	poolHistories      *histories
 	// boxHash is the hash of this box's name.
 	boxHash uint64
-	// remote is the stream to the dispatcher; nil if this box decides, and aloneSince is since
-	// when.
+	// remote is the stream to the dispatcher. It is nil while this box decides locally, which it
+	// does since localSince.
 	remote     *remote
 	localSince time.Time
-	// cold is this box's fraction of the requests that cold engines admit.
+	// cachedCold is the last result of coldFraction.
 	cachedCold cachedColdFraction
 	// opening is the stream that is being opened, if any.
 	opening *opening
@@ -82,15 +83,15 @@
 	candidates []membership.Candidate
 	// suspects are the boxes that failed to respond, by name.
 	suspects map[string]suspicion
-	// floods bounds the requests that wait here of each customer beyond its share.
+	// backlog bounds the requests of each customer over its share that wait here.
 	backlog dispatch.BacklogLimiter
-	// localRefusals is what this box refused without asking the dispatcher since the last
+	// localRefusals counts what this box refused without asking the dispatcher since the last
 	// report, by customer.
 	localRefusals map[string]*localRefusals
 	// cachesKnown is set once the engines or a router have reported the cached parts of
 	// prompts.
 	cachesKnown bool
-	// responses are the response times of dispatchers.
+	// responseTimes estimates the response times of dispatchers.
 	responseTimes responseTimes
 	// decidedAt is when the pool last decided.
 	decidedAt time.Time
@@ -109,7 +110,7 @@
 	ended chan struct{}
 	// usedAt is when a request was last seen to use the stream.
 	usedAt time.Time
-	// absentGrants counts the grants in a row of engines that are absent.
+	// absentGrants counts consecutive grants of absent engines.
 	absentGrants absentGrants
 }
 
@@ -121,15 +122,15 @@
 }
 
 const (
-	// verdictSlack is added to the time for which a request may be queued before the dispatcher
-	// is assumed to hang.
+	// verdictSlack is added to the maximum time of a request in the queue, after which the
+	// dispatcher is assumed to hang.
 	verdictSlack = 100 * time.Millisecond
 	// maxResponseWait bounds the wait for the response of a dispatcher that responds to other
-	// requests. It is of the order of the routes' latency targets, after which an answer is
-	// worth little.
+	// requests. It is of the order of the routes' latency targets: a response to the caller that
+	// comes later is worth little.
 	maxResponseWait = time.Second
 	// decisionInterval is the minimum time between two decisions, and while requests wait also
-	// the maximum: a busy pool has thousands of events a second, and deciding on a long queue
+	// the maximum: a busy pool has thousands of events a second, and a decision on a long queue
 	// takes up to a millisecond if some engines have free slots.
 	decisionInterval = 4 * time.Millisecond
 	// maxDispatchersAsked bounds the boxes that are asked for one request before this box
@@ -195,8 +196,8 @@
 	}
 }
 
-// preparePool passes the engines, running requests and rests to the pool when this box begins
-// to decide. The caller holds the lock.
+// preparePool sets the engines, running requests and rests in the pool when this box begins to
+// decide. The caller holds the lock.
 func (s *scheduler) preparePool() {
 	if s.poolReady {
 		return
@@ -212,7 +213,7 @@
 	}
 }
 
-// has reports whether an engine belongs to the group. The caller holds the lock.
+// hasEngine reports whether an engine belongs to the group. The caller holds the lock.
 func (s *scheduler) hasEngine(engine string) bool {
 	return slices.ContainsFunc(s.endpoints, func(e route.Endpoint) bool { return e.ID == engine })
 }
@@ -230,7 +231,7 @@
 const streamIdleTimeout = 250 * time.Millisecond
 
 // closeIdleStream closes the stream to the dispatcher once no request uses it, unless the group
-// has persistent sessions: otherwise a dispatcher would have a stream of every box of the
+// has persistent sessions. Without this a dispatcher would have a stream from every box of the
 // fleet.
 func (s *scheduler) closeIdleStream(now time.Time) {
 	s.mu.Lock()
@@ -269,8 +270,8 @@
 	return s.pool.Waiting() > 0
 }
 
-// decide decides after an event: at once or, if the last decision is less than decisionInterval
-// ago, with the next tick. The caller holds the lock.
+// decide decides after an event: at once or, if the last decision was made less than
+// decisionInterval ago, with the next tick. The caller holds the lock.
 func (s *scheduler) decide() {
 	if s.pool.Waiting() == 0 {
 		return
@@ -309,7 +310,7 @@
 	}
 }
 
-// deliver passes a verdict to the box that asked. A grant that can not be delivered is returned
+// deliver delivers a verdict to the box that asked. A grant that can not be delivered is returned
 // to the pool. The caller holds the lock.
 func (s *scheduler) deliver(req *dispatch.Request, v verdict) {
 	v.decidedBy = s.gateway.Settings.Name
@@ -334,7 +335,7 @@
 // ownStream is the stream number of this box's own requests.
 const ownStream = 0
 
-// acquire waits until a request is granted an engine or refused. If alone is set, this box
+// acquire waits until a request is granted an engine or refused. If local is set, this box
 // decides without asking the dispatcher.
 func (s *scheduler) acquire(ctx context.Context, req *dispatch.Request, local bool) (verdict, error) {
 	req.Stream = ownStream
@@ -371,10 +372,10 @@
 	return s.askLocal(ctx, req, s.gateway.fleet.CountLive()+1)
 }
 
-// askLocal has this box's own pool decide. Routers is the number of boxes that share the
-// engines: 1 if this box is the dispatcher, whose pool sees the requests of all routers, and
-// the size of the fleet if it stands in for the dispatcher, when its pool sees only its own
-// requests.
+// askLocal has this box's own pool decide. routers is the number of boxes whose pools share the
+// engines: 1 if this box is the dispatcher, whose pool has the requests of all routers, and the
+// size of the fleet if this box decides in place of the dispatcher, because its pool then has
+// only its own requests.
 func (s *scheduler) askLocal(ctx context.Context, req *dispatch.Request, routers int) (verdict, error) {
 	p := &pending{queued: make(chan struct{}, 1), decided: make(chan verdict, 1)}
 	s.mu.Lock()
--- a/pkg/gateway/sessions_test.go
+++ b/pkg/gateway/sessions_test.go
@@ -12,8 +12,8 @@
 	"github.com/quaylead/quaylead/pkg/partition"
 )
 
-// sessionFleet is a random fleet with ten engines a box, of which only the sessions between
-// routers and dispatchers are simulated, under random requests.
+// sessionFleet simulates the sessions between routers and dispatchers of a fleet with ten engines
+// a box, under random requests.
 type sessionFleet struct {
 	boxes     int
 	perSecond float64
@@ -23,9 +23,9 @@
 	draw        *rand.Rand
 }
 
-// requestTakes is the mean time of a stream, and sessionStays how long a session is kept after
-// the last one: until its stream has been idle, the check has found that, and the box is no
-// contact any more.
+// meanRequestTime is the mean time of a stream of events, and sessionTTL how long a session is
+// kept after the last one: until the stream to the dispatcher has been idle, the check has
+// detected that, and the dispatcher is no longer a contact.
 const (
 	meanRequestTime = 800 * time.Millisecond
 	sessionTTL      = streamIdleTimeout + idleCheckInterval + 500*time.Millisecond
@@ -46,14 +46,14 @@
 	return f
 }
 
-// sessions are numbers of sessions of single boxes.
+// sessions holds maximum numbers of sessions of one box.
 type sessions struct {
-	// asking is the maximum at a box that does not dispatch, to the boxes that it asks;
-	// dispatching is the maximum at a dispatcher, from the boxes that ask it.
+	// asking counts the sessions of a box to the dispatchers that it asks, and dispatching those
+	// of a dispatcher from the boxes that ask it.
 	asking, dispatching int
 }
 
-// standing returns the sessions if each box keeps one to the first two boxes of each group.
+// persistent returns the sessions if each box keeps one to the first two boxes of each group.
 func (f *sessionFleet) persistent() sessions {
 	return sessions{asking: 2 * f.groups, dispatching: f.boxes - 1}
 }
@@ -85,7 +85,7 @@
 	return peak
 }
 
-// play simulates random requests, each of which holds a session to the box that is asked for
+// simulate simulates random requests, each of which holds a session to the box that is asked for
 // its group.
 func (f *sessionFleet) simulate(dispatcherOf func(from, group int) int) (peak sessions) {
 	const length, step = 20 * time.Second, 50 * time.Millisecond
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -20,16 +20,16 @@
 	FirstStart bool
 	// StopTimeout is how long the process may run after it was asked to stop.
 	StopTimeout time.Duration
-	// MaxLeavingDelay is the time within which a leaving endpoint has to get no new work; 0
-	// means the default.
+	// MaxLeavingDelay is the time after which the fleet must no longer send new work to a leaving
+	// endpoint; 0 means the default.
 	MaxLeavingDelay time.Duration
 	// RetryRatio, RetryExtra and RetryWindow are the retry budget of the whole fleet: in each
 	// window, a ratio of the requests plus an extra number.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
-	// ColdFactor and ColdExtra are by how much the whole fleet may exceed the request rate that
-	// cold endpoints bear, in any second: a factor, plus a number of requests.
+	// ColdFactor and ColdExtra are by how much the whole fleet may exceed the maximum request
+	// rate of cold endpoints in any second: a factor, plus a number of requests.
 	ColdFactor, ColdExtra float64
 	// ShareWindow is the time over which the customers' shares are counted.
 	ShareWindow time.Duration
@@ -69,17 +69,18 @@
 	runtimeMemoryShare = 0.7
 	// maxBodyBytes bounds the body of a request before the catalog is known.
 	maxBodyBytes = 8 << 20
-	// maxAnswerBytes bounds an answer that is buffered whole.
+	// maxResponseBytes bounds a response that is buffered completely.
 	maxResponseBytes = 8 << 20
 	// idleTimeout closes idle connections of callers. It is longer than callers keep
 	// connections for reuse, so that no request is sent while the connection is being closed.
 	idleTimeout = 60 * time.Second
-	// deadConnectionTimeout is after how long without a reply to keep-alive probes a connection
-	// of a caller, the balancer or another box is closed; each holds a descriptor and memory.
+	// deadConnectionTimeout is after how long without an acknowledgment of keep-alive probes a
+	// connection of a caller, the balancer or another box is closed; each holds a descriptor and
+	// memory.
 	deadConnectionTimeout = 15 * time.Second
 	// readTimeout bounds reading one request.
 	readTimeout = 30 * time.Second
-	// writeTimeout bounds writing one piece of an answer to a slow caller.
+	// writeTimeout bounds writing one piece of a response to a slow caller.
 	writeTimeout = 20 * time.Second
 	// connectTimeout bounds connecting to an endpoint. On a lossy link the first packet may be
 	// lost once, but not twice.
@@ -89,7 +90,8 @@
 	balancerDelay = 2500 * time.Millisecond
 	// stopReserve is the time at the end of StopTimeout for closing what is left.
 	stopReserve = 500 * time.Millisecond
-	// maxRequestTimeout bounds a request if neither the caller nor the route does.
+	// maxRequestTimeout is the timeout of a request for which neither the caller nor the route
+	// sets one.
 	maxRequestTimeout = 5 * time.Minute
 )
 
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -12,9 +12,9 @@
 	"github.com/quaylead/quaylead/pkg/request"
 )
 
-// stream forwards the events of an engine to the caller. Only whole events are forwarded. It
-// ends normally only if the engine ended it; otherwise the connection to the caller is cut. Its
-// Close settles the request.
+// stream forwards the events of an engine to the caller. Only complete events are forwarded. It
+// ends normally only if the engine ended it; otherwise the connection to the caller is closed in
+// the middle of the response. Its Close settles the request.
 type stream struct {
 	call     *call
 	to       destination
@@ -27,13 +27,14 @@
 	// lastEvent is the ID of the last event up to buffer[:ready].
 	lastEvent string
 	events    int
-	// sentAt is when the attempt began, firstAfter the age of the request at its first event,
-	// lastEventAt when the last event arrived, and maxPause the longest time between two.
+	// grantedAt is when the first engine was granted, firstAfter the age of the request at its
+	// first event, lastEventAt when the last event arrived, and maxGap the longest time between
+	// two events.
 	grantedAt   time.Time
 	firstAfter  time.Duration
 	lastEventAt time.Time
 	maxGap      time.Duration
-	// grant holds the predictions of the dispatcher.
+	// grant holds the predictions of the dispatcher for the first engine.
 	grant    verdict
 	complete bool
 	err      error
@@ -50,7 +51,7 @@
 	eventIDField = []byte("id:")
 )
 
-// prime waits until there is something to forward. If it fails, nothing has been delivered.
+// awaitEvent waits until there is something to forward. If it fails, nothing has been delivered.
 func (s *stream) awaitEvent() error {
 	for s.ready == 0 && s.err == nil {
 		s.fill()
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Read returns whole events as they arrive.
+// Read returns complete events as they arrive.
 func (s *stream) Read(p []byte) (int, error) {
 	for s.ready == 0 {
 		if s.err == nil {
@@ -88,7 +89,7 @@
 	return n, s.call.http.Conn().SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// fill reads once and scans for events that have become whole.
+// fill reads once and scans for events that are complete by then.
 func (s *stream) fill() {
 	const minFree = 2048
 	if len(s.buffer) > maxEventBytes {
@@ -130,7 +131,7 @@
 	return (r.LatencyTarget > 0 && s.firstAfter > r.LatencyTarget) || (r.GapTarget > 0 && s.maxGap > r.GapTarget)
 }
 
-// logSettled logs whole answers: all late ones, and a sample of the others.
+// logCompleted logs a complete response: every late one, and a sample of the others.
 func (s *stream) logCompleted() {
 	c := s.call
 	late := s.isLate()
@@ -153,7 +154,7 @@
 		zap.Duration("Age", time.Since(c.arrived)))
 }
 
-// scan advances ready past the whole events.
+// scan advances ready past the complete events.
 func (s *stream) scan() {
 	for {
 		length := bytes.Index(s.buffer[s.ready:], eventEnd)
@@ -177,7 +178,7 @@
 	}
 }
 
-// recordRollout counts a stream that ended for the roll-out of its service, with the mean time
+// recordRollout counts the ended stream for the roll-out of its service, with the mean time
 // between two events as its speed.
 func (s *stream) recordRollout(result outcome) {
 	c := s.call
@@ -189,7 +190,7 @@
 	}
 }
 
-// Close settles the request, whether whole or cut.
+// Close settles the request, whether the response is complete or truncated.
 func (s *stream) Close() error {
 	if s.closed {
 		return nil
--- a/pkg/gateway/suspension.go
+++ b/pkg/gateway/suspension.go
@@ -17,8 +17,8 @@
 	// while nothing is sent.
 	suspensionCheckInterval = 250 * time.Millisecond
 	// refreshTimeout bounds how long a box waits for the store after a suspension; then it
-	// serves by what it knows, as in an outage of the store. The other boxes consider it lost
-	// for about as long.
+	// serves with the state that it has, as in an outage of the store. The other boxes consider
+	// it lost for about as long.
 	refreshTimeout = 3 * time.Second
 	// refreshRetryDelay is the time between two attempts, each of which has the timeout of a
 	// store call.
@@ -26,8 +26,8 @@
 )
 
 // suspensionTracker detects suspensions of the machine. The monotonic clock does not advance
-// during one, so that outdated state looks fresh: sessions that the peers have given up,
-// grants, the configuration and the endpoints, and requests whose callers have gone.
+// during one, and outdated state therefore seems fresh: sessions that the peers have closed,
+// grants, the configuration, the endpoints, and requests whose callers have gone.
 type suspensionTracker struct {
 	suspension.Clock
 	// refreshing is set after a suspension until the box has refreshed its state.
@@ -65,13 +65,14 @@
 }
 
 // isOutdated reports whether a decision may be outdated that was made when the suspensions had
-// the given sum. A grant from before a suspension is handed back, as its engine may have been
-// granted to another request.
+// the given sum. A grant from before a suspension is handed back, because its slot may have been
+// granted to another request meanwhile.
 func (t *suspensionTracker) isOutdated(sum time.Duration) bool {
 	return t.Detected() != sum || t.refreshing.Load()
 }
 
-// checkSuspension is called before anything is sent, and periodically.
+// checkSuspension detects a suspension of the machine and refreshes what it made outdated. It is
+// called before anything is sent, and periodically.
 func (g *Gateway) checkSuspension() {
 	length, err := g.suspensions.Measure()
 	if err != nil {
--- a/pkg/gateway/suspicion.go
+++ b/pkg/gateway/suspicion.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// minSuspectTime is how long a box that failed to respond is not asked. It doubles, up to
-	// maxSuspectTime, each time that the box fails again within suspectResetDelay.
+	// minSuspectTime is how long a box that failed to respond is not asked. The time doubles, up
+	// to maxSuspectTime, with each failure within suspectResetDelay after the last suspicion
+	// ended.
 	minSuspectTime    = 1500 * time.Millisecond
 	maxSuspectTime    = 12 * time.Second
 	suspectResetDelay = 10 * time.Second
-	// minAbsentGrants grants in a row of absent engines, over at least minAbsentTime, make a
-	// box unfit to dispatch. The time is needed because any number of simultaneous requests can
-	// be affected by one change of the endpoints that this box received first.
+	// minAbsentGrants consecutive grants of absent engines, over at least minAbsentTime, make a
+	// box unfit to dispatch. The time is needed because one change of the endpoints that this box
+	// received before the dispatcher can affect any number of simultaneous requests.
 	minAbsentGrants = 3
 	minAbsentTime   = 500 * time.Millisecond
 )
 
-// absentGrants counts grants in a row of engines that are absent in this box's directory.
+// absentGrants counts consecutive grants of engines that are absent in this box's directory.
 type absentGrants struct {
 	count int
 	since time.Time
@@ -36,17 +37,16 @@
 	return a.count >= minAbsentGrants && now.Sub(a.since) >= minAbsentTime
 }
 
-// suspicion is held against a box that failed to respond.
+// suspicion is the state of a box that failed to respond and is not asked for a while.
 type suspicion struct {
 	// until is when it may be asked again.
 	until time.Time
-	// duration is how long it is not asked.
+	// duration is the length of that time.
 	duration time.Duration
 }
 
-// next returns the suspicion after another failure. It is longer for a box that failed soon
-// after the last one ended, because each change of the dispatcher loses what the previous one
-// recorded.
+// next returns the suspicion after another failure. It is longer if the last one ended only
+// recently, because each change of the dispatcher loses what the previous one recorded.
 func (s suspicion) next(now time.Time) suspicion {
 	length := minSuspectTime
 	if s.duration > 0 && now.Sub(s.until) < suspectResetDelay {
@@ -75,8 +75,8 @@
 		zap.Error(err))
 }
 
-// returnAbsentGrant returns the grant of an absent engine, and suspects the box that granted it
-// if that goes on.
+// returnAbsentGrant hands the grant of an absent engine back. It suspects the box that granted it
+// after minAbsentGrants of them.
 func (s *scheduler) returnAbsentGrant(id string, v verdict) {
 	s.end(id, dispatch.NotRun{})
 	s.mu.Lock()
--- a/pkg/gateway/suspicion_test.go
+++ b/pkg/gateway/suspicion_test.go
@@ -24,9 +24,8 @@
 	})
 }
 
-// TestAbsences guards against boxes that stop asking their dispatcher because many simultaneous
-// requests are affected by one change of the endpoints that the dispatcher has not received
-// yet.
+// TestAbsences guards against boxes that stop asking a dispatcher only because many simultaneous
+// requests are affected by one change of the endpoints that it has not received yet.
 func TestAbsences(t *testing.T) {
 	Convey("Many grants of absent engines make a box unfit once they continue for minAbsentTime", t, func() {
 		now := time.Unix(0, 0)
--- a/pkg/gateway/translator.go
+++ b/pkg/gateway/translator.go
@@ -1,6 +1,6 @@
 // Package gateway implements the router process, which serves callers by the operator's catalog:
-// it finds the route of a request, obtains an endpoint, forwards the request and returns the
-// answer.
+// it finds the route of a request, obtains an endpoint, and forwards the request and the
+// response.
 package gateway
 
 import (
@@ -31,20 +31,20 @@
 	Endpoint string
 	// Customer is empty if it is not known.
 	Customer string
-	// Remaining is the time in which the answer is of use; 0 omits it.
+	// Remaining is the time until the request's deadline; 0 omits it.
 	Remaining time.Duration
 	// LastEvent is the ID of the event after which a stream continues; empty means from the
 	// start.
 	LastEvent string
 }
 
-// ResponseInfo is the information in the head of an endpoint's answer.
+// ResponseInfo is the information in the head of an endpoint's response.
 type ResponseInfo struct {
-	// ID is the ID of the request that the answer belongs to; empty if it is not specified.
+	// ID is the ID of the request that the response belongs to; empty if it is not specified.
 	ID string
-	// NotRun is set if the answer proves that the endpoint did not run the request.
+	// NotRun is set if the response proves that the endpoint did not run the request.
 	NotRun bool
-	// Genuine is set if the answer carries the signature of an endpoint.
+	// Genuine is set if the response carries the signature of an endpoint.
 	Genuine bool
 	// Leaving is set if the endpoint reports that it leaves.
 	Leaving bool
@@ -64,13 +64,13 @@
 	// PrepareRequest turns a copy of a caller's headers into the headers of a request to an
 	// endpoint.
 	PrepareRequest(header *fasthttp.RequestHeader, to Delivery)
-	// ParseResponse reads the head of an endpoint's answer.
+	// ParseResponse reads the head of an endpoint's response.
 	ParseResponse(header *fasthttp.ResponseHeader) ResponseInfo
-	// CachePath returns the path on which a model engine lists its prompt cache.
+	// CachePath returns the path on which a model engine lists its prefix cache.
 	CachePath() string
 	// ParseCachedParts reads that list: the start time of the engine, 0 if it is not specified,
 	// and the cached parts.
 	ParseCachedParts(body []byte) (born int64, parts []dispatch.Part, err error)
-	// StripConnectionHeaders removes the headers of an answer that concern only one connection.
+	// StripConnectionHeaders removes the headers of a response that concern only one connection.
 	StripConnectionHeaders(header *fasthttp.ResponseHeader)
 }
