--- a/pkg/gateway/cold.go
+++ b/pkg/gateway/cold.go
@@ -67,8 +67,8 @@
 	return s.cachedCold.fraction
 }
 
-// coldSenders records for which plain endpoints this box is one of the senders while they are
-// cold.
+// coldSenders records for which plain endpoints this box is one of the coldSenderCount senders
+// while they are cold.
 type coldSenders struct {
 	mu sync.Mutex
 	// since is when this box became a sender, by endpoint.
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -45,12 +45,12 @@
 	fleet       *membership.View
 	// These fetch newer versions from other boxes.
 	catalogFetcher, directoryFetcher, ordersFetcher fetcher
-	// contactsWake triggers a new choice of the contacts. It has a capacity of 1.
+	// contactsWake triggers a new selection of the contacts. Capacity 1.
 	contactsWake chan struct{}
 	budget       *retryBudget
 	health       *health
-	// ledger records which requests endpoints were running when they ended, and unconfirmed
-	// which of these ends may still turn out to be wrong.
+	// ledger records the ends of endpoints by the requests that they ran, and unconfirmed which of
+	// these ends may still turn out to be wrong.
 	ledger      quarantine.Ledger
 	unconfirmed unconfirmedEnds
 	// suspensions detects suspensions of the machine.
--- a/pkg/gateway/health.go
+++ b/pkg/gateway/health.go
@@ -186,7 +186,7 @@
 	return o == outcomeFailed || o == outcomeEnded || o == outcomeUnreachable
 }
 
-// outcome is what a request says about its endpoint.
+// outcome is the result of a request, as a measure of its endpoint.
 type outcome int
 
 const (
--- a/pkg/gateway/rank.go
+++ b/pkg/gateway/rank.go
@@ -76,7 +76,7 @@
 const maxListedOnly = 4
 
 // wantedSessions returns the boxes to which the group needs sessions: the one that is asked
-// and, with persistent sessions, the first count of those that may dispatch.
+// and, with persistent sessions, the first count boxes that may dispatch.
 func (s *scheduler) wantedSessions(count int) (names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/gateway/scheduler.go
+++ b/pkg/gateway/scheduler.go
@@ -62,7 +62,7 @@
 	// streamEndedAt is when each box last ended a stream on which it asked this one.
 	streamEndedAt map[string]time.Time
 	// syncedIncarnation is the incarnation of the last dispatcher to which the cached parts
-	// were sent: they are not sent again on a new stream to the same one.
+	// were sent. Unless the group is persistent, they are not sent again on a new stream to it.
 	syncedIncarnation uint64
 	// requested and granted are the histories of this box's requests to the group;
 	// poolHistories sums them over all groups of the pool.
@@ -70,8 +70,8 @@
 	poolHistories      *histories
 	// boxHash is the hash of this box's name.
 	boxHash uint64
-	// remote is the stream to the dispatcher. It is nil while this box decides locally, which it
-	// does since localSince.
+	// remote is the stream to the dispatcher. It is nil if this box has none and decides locally;
+	// localSince is when that began.
 	remote     *remote
 	localSince time.Time
 	// cachedCold is the last result of coldFraction.
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -125,7 +125,7 @@
 	s.call.guard.reset(s.call.gapStallTimeout())
 }
 
-// isLate reports whether the stream missed a latency target of its route.
+// isLate reports whether the stream missed the latency target or the gap target of its route.
 func (s *stream) isLate() bool {
 	r := s.call.route
 	return (r.LatencyTarget > 0 && s.firstAfter > r.LatencyTarget) || (r.GapTarget > 0 && s.maxGap > r.GapTarget)
--- a/pkg/gateway/suspension.go
+++ b/pkg/gateway/suspension.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// refresh reads the catalog, orders and endpoints again, until it succeeds or refreshTimeout
-// has passed.
+// refresh reads the catalog, orders and endpoints. It retries until that succeeds or
+// refreshTimeout has passed.
 func (g *Gateway) refresh() {
 	defer g.suspensions.refreshing.Store(false)
 	ctx, cancel := context.WithTimeout(g.workContext, refreshTimeout)
