--- a/pkg/membership/candidates.go
+++ b/pkg/membership/candidates.go
@@ -9,7 +9,7 @@
 	Name string
 	// Address is where other boxes connect to it; empty for this box.
 	Address string
-	// Incarnation identifies its start; 0 if it is not known.
+	// Incarnation is that of its process; 0 if it is not known.
 	Incarnation uint64
 	// Hash is the hash of the name.
 	Hash  uint64
@@ -32,9 +32,9 @@
 // Candidates returns the other boxes that are alive, accept work and have settings in force,
 // and those that are only listed: these may be alive while their rows are still on the way.
 // When a whole fleet restarts, boxes have to count before their rows arrive, or else each box
-// would take the first one that it received updates from for the one that dispatches. Boxes to
-// which no session can be opened are excluded. The slice is shared until the fleet changes and
-// must not be modified.
+// would take the first one that it received updates from for the dispatcher. Boxes to which no
+// session can be opened are excluded. The slice is shared until the fleet changes and must not
+// be modified.
 func (v *View) Candidates(now time.Time) []Candidate {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/pkg/membership/contacts.go
+++ b/pkg/membership/contacts.go
@@ -20,7 +20,7 @@
 	followPosition uint64
 	// hash is the hash of the name.
 	hash uint64
-	// incarnation identifies its start as last reported; 0 if the box is only listed.
+	// incarnation is the one last reported; 0 if the box is only listed.
 	incarnation uint64
 	cores       float64
 	// openingSince is the time since which a session is wanted and not open; zero otherwise.
@@ -32,7 +32,7 @@
 	// neighbourUntil is the time until which its session is kept after it was last a neighbour,
 	// and requestedUntil the same after a session for requests was last wanted.
 	neighbourUntil, requestedUntil time.Time
-	// alive and hasRow say whether any of its rows is alive, and whether there is a row.
+	// alive is set if any of its rows is alive, and hasRow if there is a row.
 	alive, hasRow bool
 }
 
@@ -65,7 +65,7 @@
 	// within a second or two after it heals.
 	probeInterval = time.Second
 	// probersPerBox is how many boxes, on average, try each lost box in one interval. If few
-	// boxes are lost, all others would otherwise try the same ones: a box that came back
+	// boxes are lost, all others would otherwise try the same ones: a box that recovered
 	// received sessions from hundreds of boxes, each of which sent it the rows of the whole
 	// fleet.
 	probersPerBox = 3
@@ -79,7 +79,8 @@
 	v.addBox(box)
 }
 
-// addBox records where a box is reached. It returns nil if that is not known. The lock is held.
+// addBox records the address of a box. It returns nil for a box without a known address. The
+// lock is held.
 func (v *View) addBox(box peer.Sender) *knownBox {
 	name, address := box.Box, box.PeerAddress
 	known := v.boxes[name]
--- a/pkg/membership/delay.go
+++ b/pkg/membership/delay.go
@@ -7,7 +7,7 @@
 	// 300 boxes in four or five hops.
 	minRowsDelay = 50 * time.Millisecond
 	// rowsDelayPerBox is added for each box above rowsDelayThreshold: a larger fleet has more
-	// boxes that come and go, and each box passes the changes that it receives on to all its
+	// boxes that come and go, and each box forwards the changes that it receives to all its
 	// neighbours. With the delay, the number of messages of a box stays about the same if the
 	// same fraction of the fleet comes and goes.
 	rowsDelayPerBox    = 300 * time.Microsecond
--- a/pkg/membership/followers.go
+++ b/pkg/membership/followers.go
@@ -21,7 +21,7 @@
 	followRing = 1000
 )
 
-// IsFollower reports whether this box is to follow the store.
+// IsFollower reports whether this box has to follow the store.
 func (v *View) IsFollower() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -54,7 +54,7 @@
 	p.withStore++
 }
 
-// notReplaced returns the number of boxes that are not replaced by others.
+// countNotReplaced returns the number of boxes that are not replaced by others.
 func (p *predecessors) countNotReplaced() int {
 	replaced := min(p.withoutStore, maxReplaced+int(p.longestLost/replaceInterval))
 	return p.withStore + p.withoutStore - replaced
@@ -63,7 +63,7 @@
 // StartRank returns the number of other boxes that come before this one when all have just
 // started and some have to read the store first: those that are alive, and those that are
 // listed and have sent no row yet. Boxes with more processor time come first: reading a large
-// table and sending it on takes a small box many times as long, and all others wait for it. A
+// table and forwarding it takes a small box many times as long, and all others wait for it. A
 // box of a large fleet knows only a part of the list, so somewhat more boxes than intended find
 // themselves among the first.
 func (v *View) StartRank() (count int) {
--- a/pkg/membership/simulation_test.go
+++ b/pkg/membership/simulation_test.go
@@ -16,7 +16,8 @@
 	chooseInterval = 20 * step
 	heartbeat      = 100 * step
 	sessionTimeout = 250 * step
-	// dialTimeout is how long an attempt to open a session takes if nobody answers.
+	// dialTimeout is how long an attempt to open a session takes if the other box does not
+	// respond.
 	dialTimeout = 50 * step
 )
 
@@ -180,7 +181,7 @@
 	}
 }
 
-// closeLapsed closes the sessions over which nothing was received for too long.
+// closeTimedOutSessions closes the sessions over which nothing was received for too long.
 func (f *fleet) closeTimedOutSessions() {
 	for _, n := range f.nodes {
 		for _, s := range n.open {
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -2,7 +2,7 @@
 // to a few others only.
 //
 // Each box reports a row of its own to its neighbours: whether it accepts work, and from which
-// boxes it receives updates. Only the box itself changes its row; the others pass it on
+// boxes it receives updates. Only the box itself changes its row; the others forward it
 // unchanged. A box is alive if a live box receives updates from it, starting at this box. So no
 // box has to declare another one dead, two reports about a box cannot contradict each other,
 // and a part of the fleet that is cut off drops out as soon as its last session ends. The cost
@@ -26,7 +26,7 @@
 	Self peer.Sender
 
 	mu sync.Mutex
-	// own is this box's row. It is to be updated at ownUpdateDue, unless that is zero.
+	// own is this box's row. It is due for an update at ownUpdateDue, unless that is zero.
 	own          entry
 	ownUpdateDue time.Time
 	// ownUpdatedAt is when it was last updated.
@@ -59,7 +59,7 @@
 	probeUntil time.Time
 }
 
-// entry is a row with what this box needs for passing it on.
+// entry is a row with what this box needs to forward it.
 type entry struct {
 	peer.Row
 	// lastChange is the number of the row's last change.
@@ -90,9 +90,9 @@
 }
 
 const (
-	// lostRowTTL is how long the row of a box that is not alive is kept, so that an older row
-	// of the box is recognized as such. Sessions that outlast a network partition pass on
-	// changes only, and partitions of minutes are common.
+	// lostRowTTL is how long the row of a box that is not alive is kept: an older row of the
+	// box is then recognized as such. Sessions that outlast a network partition forward changes
+	// only, and partitions of minutes are common.
 	lostRowTTL = 10 * time.Minute
 	// reannounceAfter is how long a box has to be lost for its return to count as a change
 	// although its row is the same: the neighbours may have removed the row meanwhile. It is
@@ -100,7 +100,7 @@
 	reannounceAfter = lostRowTTL / 10
 	// maxRows bounds the number of rows kept.
 	maxRows = 8192
-	// minOwnUpdateInterval is the least time between two updates of this box's row because of
+	// minOwnUpdateInterval is the minimum time between two updates of this box's row because of
 	// its senders: while a fleet starts, a box gets a new sender every few milliseconds, and
 	// each change crosses the fleet. Without this bound, each row crossed a starting fleet of
 	// 350 boxes some ten times, which is 5 MB per box.
@@ -347,8 +347,8 @@
 }
 
 const (
-	// minSettleDelay is how long no change may have come before a starting box assumes that it
-	// knows the fleet: a change crosses 300 boxes in a quarter of a second.
+	// minSettleDelay is how long a starting box must have received no change before it assumes
+	// that it knows the fleet: a change crosses 300 boxes in a quarter of a second.
 	minSettleDelay = 300 * time.Millisecond
 	// maxSettleDelay is how long after its start it assumes so in any case: boxes may come and
 	// go all the time.
--- a/pkg/partition/assignment.go
+++ b/pkg/partition/assignment.go
@@ -36,7 +36,8 @@
 	maxLoadFactor = 1.25
 )
 
-// BoxFor returns the box that is to dispatch for a group; empty if the ranking alone decides.
+// BoxFor returns the box that is assigned as the dispatcher of a group; empty if the ranking
+// alone decides.
 func (a *Assignment) BoxFor(service string, group, groups int, own membership.Candidate, others []membership.Candidate) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/partition/partition.go
+++ b/pkg/partition/partition.go
@@ -1,6 +1,6 @@
 // Package partition divides the engines of a large pool into groups, and selects the group that
-// a prompt goes to and the box that dispatches for a group. It does no I/O: all boxes that know
-// the same engines and the same fleet compute the same result.
+// a prompt goes to and the dispatcher of a group. It does no I/O: all boxes that know the same
+// engines and the same fleet compute the same result.
 package partition
 
 import (
@@ -13,8 +13,8 @@
 
 // MaxGroupEngines is the highest number of engines in a group, for all of which one box
 // dispatches. In larger groups the customers' shares and the load of the engines even out
-// better; but for 192 engines a box already handles some 1500 requests a second, at about 0.2
-// ms each, and scans a long queue at each tick.
+// better; but the dispatcher of 192 engines already handles some 1500 requests a second, at
+// about 0.2 ms each, and scans a long queue at each tick.
 const MaxGroupEngines = 192
 
 // Count returns the number of groups of a pool. It is a power of two, so that it seldom
--- a/pkg/partition/rank.go
+++ b/pkg/partition/rank.go
@@ -22,7 +22,7 @@
 const maxRanked = 16
 
 // coresExponent makes large boxes far more likely to dispatch than in proportion to their
-// cores: they have more capacity to spare, and a small box answers late when it dispatches.
+// cores: they have more capacity to spare, and a small dispatcher responds late.
 const coresExponent = 3
 
 // minCores is the lower bound of the cores of a box; it also stands for boxes that do not
@@ -33,8 +33,8 @@
 	return math.Log(Uniform(Hash(group, box))) / math.Pow(max(cores, minCores), coresExponent)
 }
 
-// Rank returns the first boxes for a service, best first, with this box among them if it ranks
-// high enough. It visits each box of the fleet once.
+// Rank returns the first boxes for a group of engines, best first, with this box among them if
+// it ranks high enough. It visits each box of the fleet once.
 func Rank(group string, own membership.Candidate, others []membership.Candidate) []Ranked {
 	key := xxhash.Sum64String(group)
 	ranking := make([]Ranked, 0, maxRanked+1)
--- a/pkg/peer/conversions.go
+++ b/pkg/peer/conversions.go
@@ -98,7 +98,7 @@
 	return number
 }
 
-// account identifies one customer in one pool.
+// accountKey identifies one customer in one pool.
 type accountKey struct {
 	pool, customer uint32
 }
--- a/pkg/peer/dispatch.go
+++ b/pkg/peer/dispatch.go
@@ -15,7 +15,7 @@
 	"github.com/quaylead/quaylead/pkg/peer/peerpb"
 )
 
-// DispatchStream carries messages between a router and the box that dispatches for a service.
+// DispatchStream carries messages between a router and the dispatcher of a group of engines.
 // Sending never blocks, receiving does.
 type DispatchStream struct {
 	stream  net.Conn
@@ -74,8 +74,8 @@
 	}
 }
 
-// Send queues a message. It reports false if the outbox is full; the stream must then be given
-// up.
+// Send queues a message. It reports false if the outbox is full; the caller must then close the
+// stream.
 func (s *DispatchStream) Send(message proto.Message) bool {
 	return s.outbox.put(message)
 }
@@ -129,7 +129,7 @@
 	s.traffic.Dispatch.Add(size)
 }
 
-// OpenDispatch opens a stream to a box that dispatches for a service.
+// OpenDispatch opens a stream to the box that is the dispatcher of a group of engines.
 func (e *Exchange) OpenDispatch(box, group string) (stream *DispatchStream, err error) {
 	defer func() { err = trace.Wrap(err, "opening a dispatch stream to %s", box) }()
 	session := e.session(box)
--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -60,7 +60,7 @@
 	MostSevere(now time.Time) []quarantine.End
 }
 
-// DepartureSource provides the endpoints that announced in an answer that they leave.
+// DepartureSource provides the endpoints that stated in a response that they leave.
 type DepartureSource interface {
 	// Departures returns the departures that changed since a mark, without those that the box
 	// named by to has sent itself. The first mark of a stream is 0, the next one is the mark
@@ -68,7 +68,7 @@
 	Departures(since uint64, to string, now time.Time) (departures []lifecycle.Departure, mark uint64)
 }
 
-// RolloutSource provides what this box counted of a roll-out.
+// RolloutSource provides this box's tallies of roll-outs.
 type RolloutSource interface {
 	// RolloutTally returns nil if there is no roll-out of the service.
 	RolloutTally(service string) *peerpb.RolloutTally
@@ -76,7 +76,7 @@
 
 // DispatchServer serves the routers that request engines from this box.
 type DispatchServer interface {
-	// ServeDispatch serves one stream until it ends.
+	// ServeDispatch serves one stream for a group of engines until it ends.
 	ServeDispatch(from Sender, group string, stream *DispatchStream) error
 }
 
@@ -111,7 +111,7 @@
 	// Departures provides the departures that are sent with updates and settings; nil means
 	// none.
 	Departures DepartureSource
-	// Rollouts serves requests for roll-out counts; nil rejects them.
+	// Rollouts serves requests for roll-out tallies; nil rejects them.
 	Rollouts RolloutSource
 	// Dispatch serves routers that request engines; nil rejects them.
 	Dispatch DispatchServer
--- a/pkg/peer/fetch.go
+++ b/pkg/peer/fetch.go
@@ -12,7 +12,7 @@
 )
 
 // FetchSettings requests settings of at least a revision from one peer after the other,
-// beginning with the one named first, and returns the first that it gets.
+// beginning with the one named first, and returns the first that a peer sends.
 func (e *Exchange) FetchSettings(first string, revision uint64) (foundRevision uint64, content []byte, err error) {
 	defer func() { err = trace.Wrap(err, "fetching settings from peers") }()
 	for _, l := range e.orderedLinks(first) {
@@ -48,10 +48,10 @@
 	return snapshot.Orders, nil
 }
 
-// FetchRollout requests what one peer counted of the roll-out of a service; nil means that the
-// peer knows of no roll-out.
+// FetchRollout requests one peer's tally of the roll-out of a service; nil means that the peer
+// knows of no roll-out.
 func (e *Exchange) FetchRollout(box, service string) (tally *peerpb.RolloutTally, err error) {
-	defer func() { err = trace.Wrap(err, "fetching from %s the counts of the roll-out of %s", box, service) }()
+	defer func() { err = trace.Wrap(err, "fetching from %s the tally of the roll-out of %s", box, service) }()
 	snapshot, err := e.fetchSnapshot(box, &peerpb.SnapshotRequest{Rollout: service})
 	if err != nil {
 		return nil, err
@@ -84,8 +84,8 @@
 }
 
 // FetchDirectory requests the endpoints that changed after a version from one peer. All parts
-// of the answer come over one session, so that a restart of the peer in between makes the fetch
-// fail: parts of two incarnations would miss the endpoints that were removed in between.
+// of the response come over one session, and the fetch fails if the peer restarts in between:
+// parts of two incarnations would miss the endpoints that were removed in between.
 func (e *Exchange) FetchDirectory(from string, since uint64) (directory *peerpb.Directory, err error) {
 	defer func() { err = trace.Wrap(err, "fetching the directory from %s", from) }()
 	session := e.session(from)
@@ -123,11 +123,11 @@
 	return l.session.Load()
 }
 
-// fetchTimeout bounds a fetch from one peer before the next one is asked. Some hundred
+// fetchTimeout bounds a fetch from one peer before the next one is tried. Some hundred
 // kilobytes take milliseconds; a box short of processor time may take half a second.
 const fetchTimeout = time.Second
 
-// fetchOver sends a request on a stream of its own and returns the answer.
+// fetchOver sends a request on a stream of its own and returns the response.
 func (e *Exchange) fetchOver(session *yamux.Session, request *peerpb.SnapshotRequest) (snapshot *peerpb.Snapshot, err error) {
 	stream, err := session.Open()
 	if err != nil {
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -35,7 +35,7 @@
 	// keepUntil is the time until which Connect keeps the link although the box is not a
 	// contact. Guarded by the lock of the Exchange.
 	keepUntil time.Time
-	// checking is set while CheckSession waits for a ping to be answered.
+	// checking is set while CheckSession waits for the response to a ping.
 	checking atomic.Bool
 }
 
@@ -108,11 +108,12 @@
 // minRedialDelay is the first delay after a session has ended or could not be opened; it
 // doubles up to the heartbeat interval. The boxes of a fleet that starts as a whole are up
 // within a few hundred milliseconds of each other: with a delay of a whole heartbeat interval,
-// a third of the sessions opened 1 to 1.7 s late, and for as long several boxes dispatched for
+// a third of the sessions opened 1 to 1.7 s late, and until then several boxes dispatched for
 // the same engines.
 const minRedialDelay = 50 * time.Millisecond
 
-// maintain opens the session to a peer again and again until the context ends.
+// maintain keeps a session to a peer open, and reopens it when it has ended, until the context
+// ends.
 func (e *Exchange) maintain(ctx context.Context, l *link) {
 	delay := minRedialDelay
 	for ctx.Err() == nil {
@@ -157,13 +158,13 @@
 	}
 }
 
-// pingTimeout is how long a peer may take to answer the ping of CheckSession. On a working
-// session an answer takes a millisecond. A box short of processor time may take more than half
+// pingTimeout is how long a peer may take to respond to the ping of CheckSession. On a working
+// session a response takes a millisecond. A box short of processor time may take more than half
 // a second, and reopening its sessions costs it even more: with 0.5 s, 56 sessions were closed
 // in 25 s of a run with 85 boxes, none of which was permanently unresponsive.
 const pingTimeout = 1500 * time.Millisecond
 
-// CheckSession pings a peer, and closes and reopens the session to it if it does not answer:
+// CheckSession pings a peer, and closes and reopens the session to it if it does not respond:
 // the connection may be dead while new ones work.
 func (e *Exchange) CheckSession(box string) {
 	e.mu.Lock()
@@ -291,7 +292,7 @@
 	}
 }
 
-// awaitUpdatesWanted waits until the peer is to receive updates.
+// awaitUpdatesWanted waits until the link has to send updates.
 func (e *Exchange) awaitUpdatesWanted(ctx context.Context, l *link, session *yamux.Session) error {
 	for !l.sendsUpdates.Load() {
 		select {
@@ -317,7 +318,7 @@
 
 // defaultRowsDelay is how long SendSoon waits for further changed rows unless
 // Exchange.RowsDelay is set. After a start or a loss of many boxes, each box has several rows
-// to pass on within a few milliseconds. A change crosses a fleet of 300 boxes in four or five
+// to forward within a few milliseconds. A change crosses a fleet of 300 boxes in four or five
 // hops, so this delays it by a quarter of a second.
 const defaultRowsDelay = 50 * time.Millisecond
 
@@ -340,7 +341,7 @@
 }
 
 // sendUpdates sends the whole state once and then what changed, at least one update in each
-// heartbeat interval, until the peer is to receive no more updates.
+// heartbeat interval, until the link no longer has to send updates.
 func (e *Exchange) sendUpdates(ctx context.Context, stream net.Conn, l *link) error {
 	timing := e.Box.Exchange
 	encoder := newEncoder()
--- a/pkg/peer/orders.go
+++ b/pkg/peer/orders.go
@@ -64,7 +64,7 @@
 	return orders
 }
 
-// EncodeRolloutTally encodes what a box counted of a roll-out.
+// EncodeRolloutTally encodes a box's tally of a roll-out.
 func EncodeRolloutTally(order epoch.Version, routes map[string]rollout.Tally, oldRunning int) *peerpb.RolloutTally {
 	message := &peerpb.RolloutTally{Order: uint64(order), OldRunning: uint32(oldRunning)}
 	for name, tally := range routes {
@@ -79,7 +79,7 @@
 	return message
 }
 
-// DecodeRolloutTally decodes what a box counted of a roll-out.
+// DecodeRolloutTally decodes a box's tally of a roll-out.
 func DecodeRolloutTally(message *peerpb.RolloutTally) rollout.Counts {
 	counts := rollout.Counts{Routes: map[string]rollout.Tally{}, OldRunning: int(message.OldRunning)}
 	for _, r := range message.Routes {
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -97,7 +97,7 @@
 	case request.Directory:
 		response.Content, err = proto.Marshal(e.Directory.Directory(request.Since))
 	case request.Rollout != "" && e.Rollouts == nil:
-		return trace.BadParameter("this box keeps no roll-out counts")
+		return trace.BadParameter("this box keeps no roll-out tallies")
 	case request.Rollout != "":
 		response.Tally = e.Rollouts.RolloutTally(request.Rollout)
 	case request.Orders:
@@ -144,9 +144,9 @@
 }
 
 // receiveUpdates passes a peer's updates to the Handler until the peer ends the stream or sends
-// nothing for too long. In the latter case the caller closes the session, so that the peer
-// starts again with its whole state. A session on which the peer has ended its updates stays
-// open, as it may still be used for requests.
+// nothing for too long. In the latter case the caller closes the session, and the peer starts
+// again with its whole state. A session on which the peer has ended its updates stays open, as
+// it may still be used for requests.
 func (e *Exchange) receiveUpdates(stream net.Conn, reader *bufio.Reader, hello *peerpb.Hello) error {
 	from := decodeSender(hello)
 	if from.Incarnation == e.Incarnation {
@@ -171,9 +171,9 @@
 	}
 }
 
-// countStreams counts the open update streams of a sender and calls HandlePeerLost when the
-// last one ends. The lock is held during the call, so that the first update of a stream opened
-// at the same time is handled after the loss and is not undone by it.
+// adjustStreamCount changes the number of open update streams of a sender and calls
+// HandlePeerLost when the last one ends. The lock is held during the call, so that the first
+// update of a stream opened at the same time is handled after the loss and is not undone by it.
 func (e *Exchange) adjustStreamCount(from Sender, change int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -21,7 +21,7 @@
 	Cores float64
 }
 
-// Row is the status that a box reports of itself. Other boxes pass it on unchanged.
+// Row is the status that a box reports of itself. Other boxes forward it unchanged.
 type Row struct {
 	Sender
 	// Sequence rises with each change that the box makes to its row.
@@ -72,7 +72,7 @@
 	// Ends are records of endpoints that ended while they ran a request. A received state holds
 	// the changed ones only.
 	Ends []quarantine.End
-	// Departures are endpoints that announced in an answer that they leave. A received state
+	// Departures are endpoints that stated in a response that they leave. A received state
 	// holds the changed ones only.
 	Departures []lifecycle.Departure
 	// Rollouts are the verdicts on roll-outs, sorted by service.
--- a/pkg/peer/traffic.go
+++ b/pkg/peer/traffic.go
@@ -11,8 +11,7 @@
 	Received atomic.Int64
 	// Updates, Snapshots, Dispatch and Handovers count the bytes sent by kind of message,
 	// without the framing of yamux: updates; fetched settings, orders and endpoints; requests
-	// to a dispatching box and its verdicts; and the cached prompt parts that a box that takes
-	// over dispatching is sent.
+	// to a dispatcher and its decisions; and the cached parts that a new dispatcher is sent.
 	Updates, Snapshots, Dispatch, Handovers atomic.Int64
 }
 
--- a/pkg/registry/departures.go
+++ b/pkg/registry/departures.go
@@ -11,32 +11,32 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// departure is a recorded departure of an endpoint.
+// departure is a departure as this box recorded it.
 type departure struct {
 	lifecycle.Departure
-	// receivedAt is when a box first read the answer that states it.
+	// receivedAt is when a box first read the response that states it.
 	receivedAt time.Time
 	// seq orders the departures as this box recorded them. from is the box that reported it, or
-	// empty if this box read the answer itself.
+	// empty if this box read the response itself.
 	seq  uint64
 	from string
 }
 
-// departureTTL is how long a departure of an endpoint that the store does not list is kept: other
-// boxes may still have an entry of it for as long, which may be minutes in an outage.
+// departureTTL is how long a departure of an endpoint that the store does not list is kept. Other
+// boxes may still have an entry of it for that long: minutes in an outage.
 const departureTTL = 10 * time.Minute
 
-// RecordDeparture records that an endpoint stated in an answer that it leaves. From then on it
-// counts as leaving, whatever its row says, until a later instance of it is known. The answer is
-// fresher than any row, and the only source while the store is down or this box is cut off from
-// it. It reports whether that is news.
+// RecordDeparture records that an endpoint stated in a response that it leaves. From then on it
+// counts as leaving, whatever its row says, until a later instance of it is known. The response is
+// fresher than any row, and the only source while the store is down or this box is cut off from it.
+// It reports whether the departure was recorded; one that is known already is not.
 func (r *Registry) RecordDeparture(chosen *route.Endpoint, now time.Time) (recorded bool) {
 	reported := []lifecycle.Departure{{Endpoint: chosen.ID, Born: chosen.Born}}
 	return r.OfferDepartures(reported, "", now)
 }
 
-// OfferDepartures records the departures that a peer reports; an empty name stands for this box.
-// It reports whether any of them is news.
+// OfferDepartures records the departures that a peer reports; an empty name stands for this box. It
+// reports whether any of them was recorded.
 func (r *Registry) OfferDepartures(reported []lifecycle.Departure, from string, now time.Time) (recorded bool) {
 	if len(reported) == 0 {
 		return false
@@ -51,7 +51,8 @@
 	return recorded
 }
 
-// addDeparture records a departure and reports whether it is news. The lock is held.
+// addDeparture records a departure, unless it is known, too old or of an earlier instance, and
+// reports whether it did. The lock is held.
 func (r *Registry) addDeparture(reported lifecycle.Departure, from string, now time.Time) (recorded bool) {
 	known, exists := r.departures[reported.Endpoint]
 	if reported.Age > departureTTL || (exists && known.Born >= reported.Born) {
@@ -76,7 +77,7 @@
 	return true
 }
 
-// isLeaving reports whether an endpoint leaves, by its row or by an answer. The lock is held.
+// isLeaving reports whether an endpoint leaves, by its row or by a response. The lock is held.
 func (r *Registry) isLeaving(endpoint *route.Endpoint) bool {
 	d, exists := r.departures[endpoint.ID]
 	return endpoint.Leaving || (exists && d.AppliesTo(&endpoint.Facts))
--- a/pkg/registry/departures_test.go
+++ b/pkg/registry/departures_test.go
@@ -14,8 +14,8 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// These tests guard against requests to an engine that stated in an answer that it leaves. It once
-// got requests for as long as the store was down, because only its row in the store was used.
+// These tests guard against requests to an engine that stated in a response that it leaves. It once
+// received requests for as long as the store was down, because only its row in the store was used.
 
 var baseTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -27,8 +27,8 @@
 	return Entry{Version: version, Endpoint: route.Endpoint{ID: "e", Address: "10.0.0.1:80", Facts: lifecycle.Facts{Born: born, Leaving: leaving}}}
 }
 
-// TestDepartureHolds applies rows, removals, statements in answers and reports of other boxes in
-// random order. Once an answer of an instance stated that it leaves, no directory may admit
+// TestDepartureHolds applies rows, removals, statements in responses and reports of other boxes in
+// random order. Once a response of an instance stated that it leaves, no directory may admit
 // requests to it until a later instance is known.
 func TestDepartureHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -76,7 +76,7 @@
 
 func TestDepartures(t *testing.T) {
 	leaving := func(r *Registry) bool { return endpointIn(r, "e").Leaving }
-	Convey("An endpoint that states in an answer that it leaves counts as leaving, whatever its row says", t, func() {
+	Convey("An endpoint that states in a response that it leaves counts as leaving, whatever its row says", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(1, 0, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
@@ -88,7 +88,7 @@
 		r.applyReadNow([]Entry{rowOf(3, 0, false)}, 3, true, baseTime.Add(time.Hour))
 		So(leaving(r), ShouldBeTrue)
 	})
-	Convey("A later instance takes requests, and the departure of an earlier one is no news", t, func() {
+	Convey("A later instance takes requests, and the departure of an earlier one is not recorded", t, func() {
 		r := newRegistry()
 		r.applyReadNow([]Entry{rowOf(1, 5, false)}, 1, true, baseTime)
 		known := endpointIn(r, "e")
@@ -151,7 +151,7 @@
 }
 
 // TestLateRowDoesNotUndoLeaving guards against requests to an endpoint that leaves, if an older
-// state of it is written after the one that says so.
+// state of it is written after the one that states that it leaves.
 func TestLateRowDoesNotUndoLeaving(t *testing.T) {
 	Convey("A contradicting row of the same instance changes nothing, and one of a later instance does", t, func() {
 		r := newRegistry()
--- a/pkg/registry/divergence.go
+++ b/pkg/registry/divergence.go
@@ -15,7 +15,7 @@
 type divergence struct {
 	// due is when this box does the full read; zero if no difference is known.
 	due time.Time
-	// Differences are ignored until ignoredUntil; backoff is how long the last such time was. It
+	// Differences are ignored until ignoredUntil; backoff is the length of the last such period. It
 	// doubles while full reads change nothing: then the other box is wrong, or the two boxes
 	// interpret the same rows differently.
 	ignoredUntil time.Time
--- a/pkg/registry/divergence_test.go
+++ b/pkg/registry/divergence_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestDivergenceEnds guards against endpoints that a box uses for ever though the store does not
+// TestDivergenceEnds guards against endpoints that a box uses forever though the store does not
 // list them, whatever the cause.
 func TestDivergenceEnds(t *testing.T) {
 	Convey("Of boxes that know the same version", t, func() {
--- a/pkg/registry/endpoints.go
+++ b/pkg/registry/endpoints.go
@@ -14,10 +14,10 @@
 // fromStore names the store as the source of a change. Other sources are names of boxes.
 const fromStore = "store"
 
-// applyRead merges the answer to a read of the endpoints. The read started when this box knew all
-// changes up to since; version is that of the answer. full means that the entries are all that the
-// store lists, not only the changes. It returns how many entries were ignored as outdated though
-// they differ from the known ones.
+// applyRead merges the response to a read of the endpoints. The read started when this box knew all
+// changes up to since; version is that of the response. full means that the entries are all that
+// the store lists, not only the changes. It returns how many entries were ignored as outdated
+// though they differ from the known ones.
 func (r *Registry) applyRead(entries []Entry, since, version epoch.Version, full bool, now time.Time) (ignoredOutdated int) {
 	r.update(now, func() (changed bool) {
 		r.ignoredOutdated = 0
@@ -39,8 +39,8 @@
 	return ignoredOutdated
 }
 
-// isStaleRead reports whether peers have sent newer state than that of an answer of the store
-// since the call was made. Such an answer may list an endpoint whose removal is before the current
+// isStaleRead reports whether peers have sent newer state than a response of the store holds since
+// the call was made. Such a response may list an endpoint whose removal is before the current
 // Position, and the removal would not be read again. The lock is held.
 func (r *Registry) isStaleRead(since, version epoch.Version) bool {
 	known := r.knowledge.Known
@@ -280,8 +280,8 @@
 	return r.newestVersion
 }
 
-// maxPageEntries bounds the entries that are sent at once. All neighbours may ask a box in the
-// same moment, and the answer for each of them takes memory.
+// maxPageEntries bounds the entries that are sent at once. All neighbours may send a request at the
+// same moment, and each response takes memory.
 const maxPageEntries = 512
 
 // EntriesSince returns the first entries that changed after a version, for a box that knows all
@@ -333,7 +333,7 @@
 
 // canUpdateFrom reports whether another box knows all changes that this one lacks. Entries of
 // versions above the own Position came from boxes that could not supply all changes; the other box
-// has to know what became of these entries as well. The lock is held.
+// must know the later changes of these entries as well. The lock is held.
 func (r *Registry) canUpdateFrom(other route.Knowledge) bool {
 	own := r.knowledge
 	if own.Known == 0 || !other.CanUpdate(own) {
@@ -346,9 +346,9 @@
 
 // ReceiveKnowledge handles the knowledge that a peer reports and the highest version of its
 // entries. If the peer knows a higher version, but no entry changed, this box takes over that
-// version and news is set. If entries changed, ask is set: they have to be requested from the
-// peer. A peer that lacks changes which this box needs is of no use; this box then has to read the
-// store itself.
+// version and changed is set. If entries changed, shouldFetch is set: they have to be requested
+// from the peer. If the peer lacks changes that this box needs, this box has to read the store
+// itself, unless another peer sends them in time.
 func (r *Registry) ReceiveKnowledge(other route.Knowledge, newest epoch.Version) (changed, shouldFetch bool) {
 	r.mu.Lock()
 	known, upTo := r.knowledge, r.knowledge.Known
--- a/pkg/registry/follow.go
+++ b/pkg/registry/follow.go
@@ -19,12 +19,12 @@
 	// to send the state of the store. Sessions are open within half a second, and callers come
 	// seconds later. After a restart callers are waiting already.
 	firstStartDelay = 700 * time.Millisecond
-	// firstStartTimeout is how long a box without any state lets others send it, if no box of the
-	// fleet has run before.
+	// firstStartTimeout is how long a box without any state waits for others to send it, if no box
+	// of the fleet has run before.
 	firstStartTimeout = 3 * time.Second
 	// A turn is the time in which the boxes that read the store inform the others. It takes at
-	// least minTurnInterval, and turnIntervalCalls times as long as this box waited for the list
-	// of boxes: where the store or the box is slow, all that follows is slow as well. Turns apply
+	// least minTurnInterval, and turnIntervalCalls times as long as this box waited for the list of
+	// boxes: if the store or the box is slow, the calls that follow are slow as well. Turns apply
 	// to boxes that are listed but not known to be alive. maxStartDelay bounds the number of turns
 	// until the last box reads the store itself.
 	minTurnInterval   = 600 * time.Millisecond
@@ -43,8 +43,8 @@
 )
 
 // awaitStartTurn waits until this box has to read the state itself or others have sent it. If all
-// boxes start at once and each reads for itself, a table of many pages is read once per box, which
-// slows down the store for all, so that even more boxes read.
+// boxes start at once and each reads for itself, a table of many pages is read once per box. That
+// slows down the store for all, and even more boxes read.
 func (r *Registry) awaitStartTurn(ctx context.Context) error {
 	if r.FirstStart {
 		if err := interval.Wait(ctx, firstStartDelay); err != nil {
@@ -84,15 +84,16 @@
 	return waited >= min(turns, maxStartDelay/minTurnInterval)*turnInterval
 }
 
-// boxesListed returns the channel listed, which is created on first use.
+// boxesListed returns the channel boxListSignal, which is created on first use.
 func (r *Registry) boxesListed() chan struct{} {
 	r.boxListOnce.Do(func() { r.boxListSignal = make(chan struct{}) })
 	return r.boxListSignal
 }
 
-// awaitFollow waits until this box has to follow the store. A box without any state that receives
-// none reads in its start turn, and a box for which lacks returns true reads at once; a nil lacks
-// never does. It returns the context's error if that ends first.
+// awaitFollow waits until this box has to read the store. Without state, that is in its start turn,
+// unless it receives the state before. With state, it is when this box has to follow the store, or
+// when needsOwnRead returns true; a nil needsOwnRead never does. It returns the context's error if
+// that ends first.
 func (r *Registry) awaitFollow(ctx context.Context, hasState bool, needsOwnRead func(now time.Time) bool) error {
 	if r.IsFollower == nil {
 		return ctx.Err()
@@ -118,7 +119,7 @@
 	}
 	if waited && r.IsStoreLostElsewhere() {
 		// Entries that are missing now may have been removed because of the outage. The boxes that
-		// followed the store know of it, and this one has to treat removals as they do.
+		// followed the store know of the outage, and this one has to treat removals as they do.
 		r.recordEndpointsFailure(errLostElsewhere)
 	}
 	return ctx.Err()
@@ -133,7 +134,7 @@
 	due   time.Time
 }
 
-// A box that lacks changes lets others send them for minOwnReadFraction to
+// A box that lacks changes waits for others to send them for minOwnReadFraction to
 // minOwnReadFraction+ownReadJitterFraction of MaxLeavingDelay, on top of the time between two
 // polls. The first box that reads the store informs the others, so they read at different times.
 const (
@@ -166,7 +167,7 @@
 func (r *Registry) isUninitialized() bool { return r.Catalog() == nil || r.Directory() == nil }
 
 // minStoreLostInterval is the minimum time between two reports that the store is lost or back. If
-// answers are lost at random, calls fail and succeed in turn, and each report is sent through the
+// responses are lost at random, calls fail and succeed in turn, and each report is sent through the
 // fleet.
 const minStoreLostInterval = time.Second
 
--- a/pkg/registry/follow_test.go
+++ b/pkg/registry/follow_test.go
@@ -51,7 +51,7 @@
 	}
 	cases := []struct {
 		name string
-		// before is set where the fleet has run before.
+		// before is set if the fleet has run before.
 		before bool
 		run    func(*box)
 	}{
@@ -133,13 +133,13 @@
 	}
 }
 
-// TestUnservedBoxLooks guards against a box that waits for ever for changes that no other box can
-// supply. In a fault soak, two of five boxes sent requests for 12 s, until it was over, to endpoints
-// that had ended: they did not follow the store, and the state of all the others began after the
-// version that these two knew, so that no box could send them the changes in between. Reports
-// without use were dropped silently, and only a box without any state read the store while others
-// followed it. With no other change than that such a box reads the store within a second, it finds
-// the new endpoint.
+// TestUnservedBoxLooks guards against a box that waits forever for changes that no other box can
+// supply. In a fault soak, two of five boxes sent requests for 12 s, until it was over, to
+// endpoints that had ended: they did not follow the store, and the state of all the others began
+// after the version that these two knew, so that no box could send them the changes in between.
+// Reports from which the box could not take the changes were dropped silently, and only a box
+// without any state read the store while others followed it. With no other change than that such a
+// box reads the store within a second, it finds the new endpoint.
 func TestUnservedBoxLooks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A box that lacks changes which no other box can supply reads the store", t, func() {
--- a/pkg/registry/grace.go
+++ b/pkg/registry/grace.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// gracePeriod is how long after the store's return an endpoint whose entry went during the
-	// outage is still used. The user documentation says that the entry of a live server is back
+	// gracePeriod is how long after the store's return an endpoint whose entry was removed during
+	// the outage is still used. The user documentation says that the entry of a live server is back
 	// within two seconds. The period ends graceMargin before MaxLeavingDelay is over, as the entry
 	// may be that of an endpoint that has left.
 	gracePeriod = 2200 * time.Millisecond
@@ -24,8 +24,9 @@
 	outageWindow = 2 * time.Second
 )
 
-// startGrace handles the removal of an entry during an outage: its endpoint is still used for a
-// while. An entry that is known to be gone stays gone.
+// startGrace handles the removal of an entry during an outage: its endpoint stays in use until the
+// grace period ends. It reports whether the directory changes. An entry that is known to be gone
+// stays gone.
 func (r *Registry) startGrace(known, entry Entry, from string, now time.Time) bool {
 	if known.Gone {
 		r.markGone(known, entry.Version)
@@ -58,8 +59,8 @@
 	return known.ID == ""
 }
 
-// endGracePeriods drops endpoints whose entries did not come back. Each box does so by itself, so
-// that nothing has to be sent then. The lock is held.
+// endGracePeriods drops endpoints whose entries were not written again in time. Each box does so by
+// itself; nothing has to be sent. The lock is held.
 func (r *Registry) endGracePeriods(now time.Time) (changed bool) {
 	for id := range r.inGrace {
 		entry, _ := r.entries.find(id)
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// usableUntil returns how long an endpoint may be used that a poll has listed: its entry may have
-// gone right after that poll because it leaves.
+// usableUntil returns until when an endpoint may be used that a poll has listed: its entry may have
+// been removed right after that poll because it leaves.
 func (r *Registry) usableUntil(polledAt time.Time) time.Time {
 	return polledAt.Add(r.maxLeavingDelay() - graceMargin)
 }
@@ -122,8 +123,8 @@
 	return end
 }
 
-// reportedGraceEnd does the same for the end that another box reports: that box alone may have
-// been cut off from the store. The lock is held.
+// reportedGraceEnd returns the same for an entry of which another box reports a grace period: that
+// box alone may have been cut off from the store. The lock is held.
 func (r *Registry) reportedGraceEnd(reported, now time.Time) time.Time {
 	own := r.usableUntil(r.lastPollAt)
 	if now.Sub(r.lastPollAt) >= r.maxLeavingDelay() || reported.Before(own) {
--- a/pkg/registry/grace_test.go
+++ b/pkg/registry/grace_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestLapseIsToldWithWhatWasHeardMeanwhile(t *testing.T) {
-	Convey("A box that receives more during a grace period passes on both, and each box drops the entry in time", t, func() {
+	Convey("A box that receives more during a grace period forwards both, and each box drops the entry in time", t, func() {
 		r, informed, late := newRegistry(), newRegistry(), newRegistry()
 		now := time.Now()
 		r.applyReadNow([]Entry{{Endpoint: endpointOf("a"), Version: 1}}, 1, true, now)
--- a/pkg/registry/knowledge_test.go
+++ b/pkg/registry/knowledge_test.go
@@ -158,7 +158,7 @@
 				// A heartbeat, or a write of another client.
 				store.write(id, func(*Entry) {})
 			case 4:
-				box.poll(store, rapid.Bool().Draw(t, "whole"))
+				box.poll(store, rapid.Bool().Draw(t, "full"))
 			default:
 				box.receive(boxes[rapid.IntRange(0, 3).Draw(t, "from")])
 			}
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestLapsesAreTold has one box follow the store for another one. An entry that goes during an
-// outage and does not come back has to be dropped by both within MaxLeavingDelay.
+// TestLapsesAreTold has one box follow the store for another one. An entry that is removed during
+// an outage and not written again has to be dropped by both within MaxLeavingDelay.
 func TestLapsesAreTold(t *testing.T) {
 	const rounds = 20
 	for range rounds {
@@ -219,7 +219,7 @@
 	}
 }
 
-// TestRestartedTellerHidesNoRemoval guards against endpoints that stay in use for ever if the box
+// TestRestartedTellerHidesNoRemoval guards against endpoints that stay in use forever if the box
 // that reported changes restarts before they are requested from it.
 func TestRestartedTellerHidesNoRemoval(t *testing.T) {
 	Convey("A box that the sender can no longer bring up to date reads the store itself", t, func() {
--- a/pkg/registry/outages_test.go
+++ b/pkg/registry/outages_test.go
@@ -27,10 +27,10 @@
 	outageStep = 100 * time.Millisecond
 	// minStableTime is how long a box must have been without a fault before its state is checked.
 	minStableTime = 3 * time.Second
-	// maxExchangeDelay is the time to pass a change on over two boxes: for each, the longest fetch
-	// and the time until the next step.
+	// maxExchangeDelay is the time in which a change is forwarded over two boxes: for each, the
+	// longest fetch and the time until the next step.
 	maxExchangeDelay = 2 * (maxFetchMilliseconds*time.Millisecond + outageStep/2)
-	// maxFetchMilliseconds is the longest time that a box takes to answer another one.
+	// maxFetchMilliseconds is the longest time that a box takes to respond to another one.
 	maxFetchMilliseconds = 250
 )
 
@@ -71,11 +71,11 @@
 	leftAt map[string]time.Time
 	// downUntil is when the store is back; faultAt is when it was last down.
 	downUntil, faultAt time.Time
-	// dueWrites are the pending writes of servers; next numbers new servers.
+	// dueWrites are the pending writes of servers; nextServer numbers new servers.
 	dueWrites  []dueWrite
 	nextServer int
 	startedAt  time.Time
-	// log describes the history; broken is the first violation found.
+	// log describes the history; violation is the first one found.
 	log       []string
 	violation string
 }
@@ -114,7 +114,7 @@
 	return f.isDown() || time.Now().Before(f.boxes[i].refusedUntil)
 }
 
-// follows is a simplified membership.View.IsFollower.
+// isFollower is a simplified membership.View.IsFollower.
 func (f *outageFleet) isFollower(i int) bool {
 	reaching, lost := 0, 0
 	for _, box := range f.boxes[:i] {
@@ -254,7 +254,7 @@
 			continue
 		}
 		if !box.divergence.due.IsZero() {
-			f.fail("box %d takes its endpoints to differ from those of another one", i)
+			f.fail("box %d reports a divergence from another box", i)
 		}
 		for _, endpoint := range box.Directory().All() {
 			leftAt, hasLeft := f.leftAt[endpoint.ID]
--- a/pkg/registry/quarantine.go
+++ b/pkg/registry/quarantine.go
@@ -69,8 +69,8 @@
 }
 
 // loadQuarantine reads the quarantine from the store. It runs before the configuration is read: a
-// box that has one serves, and by then has to know which requests it must not send. After all
-// boxes were killed at once, no other box knows them.
+// box with a configuration serves, and by then it has to know which requests it must not send.
+// After all boxes were killed at once, no other box knows them.
 func (r *Registry) loadQuarantine(ctx context.Context) {
 	if r.Quarantine == nil || r.FirstStart {
 		return
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -41,15 +41,15 @@
 	Changed func()
 	// FoundBoxes is called with the boxes that the store lists.
 	FoundBoxes func([]Box)
-	// Polled is called after each poll of the endpoints, so that the result is sent to the other
-	// boxes.
+	// Polled is called after each poll of the endpoints; the result is then due to be sent to the
+	// other boxes.
 	Polled func()
 	// LiveBoxes returns the other boxes that are known to be alive. Nil means that none are known.
 	LiveBoxes func() []Box
-	// Peers returns the number of other boxes that follow the store.
+	// CountOtherFollowers returns the number of other boxes that follow the store.
 	CountOtherFollowers func() int
-	// Follows reports whether this box has to follow the store; the others receive the state from
-	// the boxes that do. Nil means that it does.
+	// IsFollower reports whether this box has to follow the store; the others receive the state
+	// from the boxes that do. Nil means that it does.
 	IsFollower func() bool
 	// StartRank returns how many other boxes read the store before this one when all boxes have
 	// just started without any state. It is called once the list of boxes is known. Nil means
@@ -60,14 +60,14 @@
 	LiveAhead func() int
 	// FullReadStarted is called when a read of all endpoints starts. It may be nil.
 	FullReadStarted func(reason FullReadReason)
-	// StoreLost is called when the store calls of this box begin to fail and when they succeed
-	// again. LostElsewhere reports whether those of another box fail.
+	// StoreLost is called with true when the store calls of this box begin to fail, and with false
+	// when they succeed again. IsStoreLostElsewhere reports whether those of another box fail.
 	StoreLost            func(lost bool)
 	IsStoreLostElsewhere func() bool
 	// FirstStart is set if no box of the fleet has run before.
 	FirstStart bool
-	// MaxLeavingDelay is the time within which a leaving endpoint has to get no new work; 0 means
-	// defaultMaxLeavingDelay.
+	// MaxLeavingDelay is the longest time for which an endpoint that leaves may still receive new
+	// work; 0 means defaultMaxLeavingDelay.
 	MaxLeavingDelay time.Duration
 	// Quarantine holds the requests under which endpoints ended. Nil means that none are recorded.
 	Quarantine *quarantine.Ledger
@@ -75,7 +75,7 @@
 	// quarantineSignal has a value while the quarantine has changes to write. Its capacity is 1.
 	quarantineSignal chan struct{}
 	quarantineOnce   sync.Once
-	// listed is closed once the list of boxes was read.
+	// boxListSignal is closed once the list of boxes was read.
 	boxListSignal chan struct{}
 	boxListOnce   sync.Once
 	// restoreSignal has a value after the store was restored. Its capacity is 1.
@@ -95,10 +95,11 @@
 	// changedIDs are the IDs of the entries that changed since the directory was last published.
 	// pendingChanges are the changes of the directory that TakeChanges has not returned yet.
 	changedIDs []string
-	// quiet suppresses the log line per endpoint while many entries are merged.
+	// summaryOnly suppresses the log line per endpoint while many entries are merged; one line then
+	// logs their number.
 	summaryOnly bool
-	// passedOver counts the entries of a read that were ignored as outdated though they differ
-	// from the known ones.
+	// ignoredOutdated counts the entries of a read that were ignored as outdated although they
+	// differ from the known ones.
 	ignoredOutdated int
 	pendingChanges  []route.Change
 	// knowledge records up to which version the entries are known, from own polls or from peers.
@@ -111,7 +112,8 @@
 	digest        uint64
 	// divergence tracks what to do about a peer that reports another digest.
 	divergence divergence
-	// lost is set while this box's calls of the store fail; lostAt is when that last changed.
+	// storeLost is set while this box's calls of the store fail; storeLostChangedAt is when that
+	// last changed.
 	storeLost          bool
 	storeLostChangedAt time.Time
 	// inGrace are the IDs of the entries in their grace period.
@@ -121,7 +123,7 @@
 	// readVersion is the newest version of this box's own reads of the endpoints, declaredVersion
 	// that of its reads of the declared state. 0 means that there was none.
 	readVersion, declaredVersion epoch.Version
-	// departures are the endpoints that stated in an answer that they leave, by ID. departureSeq
+	// departures are the endpoints that stated in a response that they leave, by ID. departureSeq
 	// numbers the changes of the map.
 	departures   map[string]departure
 	departureSeq uint64
@@ -149,12 +151,12 @@
 	catalogPollTimeoutPerBox = 250 * time.Millisecond
 	maxCatalogPollTimeout    = 15 * time.Second
 	// Both are fractions of MaxLeavingDelay. After a poll by any box, no box polls again for
-	// minPollFraction; the boxes spread their next polls over pollJitterFraction, so that mostly
-	// one polls and informs the others. Together they bound the time between two polls and leave
+	// minPollFraction; the boxes spread their next polls over pollJitterFraction, and mostly one of
+	// them polls and informs the others. Together they bound the time between two polls and leave
 	// two fifths for informing the others.
 	minPollFraction    = 0.2
 	pollJitterFraction = 0.4
-	// defaultMaxLeavingDelay is used where MaxLeavingDelay is 0.
+	// defaultMaxLeavingDelay is used if MaxLeavingDelay is 0.
 	defaultMaxLeavingDelay = 2 * time.Second
 	// minRetryDelay and maxRetryDelay bound the delay after a failed call, which doubles with each
 	// failure. The maximum grows by retryDelayPerBox for each other box that follows the store, up
@@ -208,7 +210,7 @@
 // backoff doubles the delay between failed calls.
 type backoff struct {
 	failures int
-	// peers returns the number of other boxes that follow the store.
+	// countOtherFollowers returns the number of other boxes that follow the store.
 	countOtherFollowers func() int
 }
 
--- a/pkg/registry/restored.go
+++ b/pkg/registry/restored.go
@@ -45,9 +45,9 @@
 }
 
 // carryOver keeps known state of the same instance of an endpoint against a later row that
-// contradicts it. An endpoint never withdraws that it leaves, so a row without it is an older
-// state that was written late. A row of a later epoch may be older than what is known, whatever
-// its version, so an endpoint that is known to be gone is held. The lock is held.
+// contradicts it. An endpoint never withdraws that it leaves, so a row that does not state it is an
+// older state that was written late. A row of a later epoch may be older than what is known,
+// whatever its version, so an endpoint that is known to be gone is held. The lock is held.
 func (r *Registry) carryOver(entry, known *Entry, now time.Time) {
 	if entry.Supersedes(&known.Facts) {
 		return
@@ -83,7 +83,8 @@
 	return len(r.held) > 0
 }
 
-// endHolds uses the held entries again that the store still lists. The lock is held.
+// endHolds puts held entries that the store still lists back in use when their hold ends. The lock
+// is held.
 func (r *Registry) endHolds(now time.Time) (changed bool) {
 	for id, until := range r.held {
 		if now.Before(until) {
--- a/pkg/registry/restored_test.go
+++ b/pkg/registry/restored_test.go
@@ -94,7 +94,7 @@
 // restoredBox reads a restorableStore as the platform's adapter does.
 type restoredBox struct {
 	*Registry
-	// left are the endpoints that this box has known to leave or to be gone.
+	// departed are the endpoints that this box has known to leave or to be gone.
 	departed map[string]bool
 }
 
@@ -177,7 +177,7 @@
 			boxes := []*restoredBox{newRestoredBox(), newRestoredBox(), newRestoredBox(), newRestoredBox()}
 			copies := []versionedStore{store.snapshot()}
 			rewriteDelay := func() time.Duration {
-				return time.Duration(rapid.IntRange(0, 1500).Draw(t, "again")) * time.Millisecond
+				return time.Duration(rapid.IntRange(0, 1500).Draw(t, "rewrite delay")) * time.Millisecond
 			}
 			check := func() {
 				for i, box := range boxes {
@@ -232,7 +232,7 @@
 					}
 				}
 				store.advance(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
-				exchange(boxes, store, rapid.IntRange(0, len(boxes)-1).Draw(t, "looker"))
+				exchange(boxes, store, rapid.IntRange(0, len(boxes)-1).Draw(t, "poller"))
 				check()
 			}
 			for end := time.Now().Add(restoreHoldDelay + rowTTL + time.Second); time.Now().Before(end); {
--- a/pkg/registry/slow_responses_test.go
+++ b/pkg/registry/slow_responses_test.go
@@ -11,10 +11,10 @@
 	"github.com/quaylead/quaylead/pkg/route"
 )
 
-// answer is a pending answer of the store or of another box.
+// response is a pending response of the store or of another box.
 type response struct {
 	box *Registry
-	// apply merges the answer.
+	// apply merges the response.
 	apply func()
 }
 
@@ -105,7 +105,7 @@
 			continue
 		}
 		if !box.divergence.due.IsZero() {
-			return fmt.Sprintf("box %d takes its endpoints to differ from those of another one", i)
+			return fmt.Sprintf("box %d reports a divergence from another box", i)
 		}
 		got := map[string]route.Endpoint{}
 		for _, endpoint := range box.Directory().All() {
@@ -119,8 +119,8 @@
 	return ""
 }
 
-// TestOldAnswersBringNothingBack guards against endpoints that have left and are used again
-// because an older answer came late.
+// TestOldAnswersBringNothingBack guards against endpoints that have left and are used again because
+// an older response came late.
 func TestOldAnswersBringNothingBack(t *testing.T) {
 	broken := 0
 	for seed := range uint64(slowHistories) {
--- a/pkg/registry/store.go
+++ b/pkg/registry/store.go
@@ -97,7 +97,8 @@
 	DecodeCatalog(content []byte) (*route.Catalog, error)
 	// Endpoints reads all entries.
 	Endpoints(ctx context.Context) (entries []Entry, version epoch.Version, err error)
-	// EndpointsSince reads the changes after the version, without waiting.
+	// EndpointsSince reads the changes after the version since, without waiting. The version
+	// returned is that of the store at the read.
 	EndpointsSince(ctx context.Context, since epoch.Version) (entries []Entry, version epoch.Version, err error)
 	// Announce writes the rows of boxes.
 	Announce(ctx context.Context, boxes ...Box) error
--- a/pkg/share/ledger.go
+++ b/pkg/share/ledger.go
@@ -19,8 +19,8 @@
 	counters map[string]*Counter
 	// floor is the virtual time at which a customer that returns from idle starts: the highest
 	// value that the lowest virtual time of a backlogged customer has had or, while no customer
-	// is backlogged, that of the customer of a started request. It never falls, so that idle
-	// customers earn no credit.
+	// is backlogged, that of the customer of a started request. It never falls: idle customers
+	// earn no credit.
 	floor float64
 }
 
