--- a/cmd/quaybench/experiment/experiment_test.go
+++ b/cmd/quaybench/experiment/experiment_test.go
@@ -40,7 +40,7 @@
 		run := &experiment.Run{Experiment: e, Seed: 7, Bin: bin(t), Dir: t.TempDir()}
 		result, err := run.Do(t.Context())
 		So(err, ShouldBeNil)
-		Convey("every caller gets its whole answer, and every count is zero", func() {
+		Convey("every caller gets its complete response, and every count is zero", func() {
 			So(result.Requests, ShouldBeGreaterThan, 0)
 			So(result.Whole, ShouldEqual, result.Requests)
 			So(result.Passed(), ShouldBeTrue)
--- a/cmd/quaybench/fault/proxy.go
+++ b/cmd/quaybench/fault/proxy.go
@@ -46,7 +46,7 @@
 	return proxy.Listen, nil
 }
 
-// Toxic is one fault of a link. The word is that of the library.
+// Toxic is one fault of a link, in the term of the toxiproxy library.
 type Toxic struct {
 	// Type is the library's name for the fault, such as "latency", "timeout",
 	// "reset_peer", "limit_data" or "bandwidth".
--- a/cmd/quaybench/fleet/address.go
+++ b/cmd/quaybench/fleet/address.go
@@ -8,15 +8,15 @@
 	"github.com/gravitational/trace"
 )
 
-// issuedAddresses holds the addresses that FreeAddress returned in this process.
-// The kernel may choose the same port again before the process that shall listen
-// on it has started.
+// issuedAddresses holds the addresses that FreeAddress returned in this
+// process. The kernel may choose the same port again before the process that
+// will listen on it has started.
 var issuedAddresses sync.Map
 
-// FreeAddress returns an address with a free port, chosen by the kernel. Its host
-// is a loopback address that depends on the process ID, so that other harnesses
-// use another one. On 127.0.0.1 an outgoing connection could take the port before
-// the process that shall listen on it has started.
+// FreeAddress returns an address with a free port, chosen by the kernel. Its
+// host is a loopback address derived from the process ID, so different
+// harnesses use different ones. On 127.0.0.1 an outgoing connection could take
+// the port before the process that will listen on it has started.
 func FreeAddress() (address string, err error) {
 	defer func() { err = trace.Wrap(err, "choosing a port") }()
 	pid := os.Getpid()
--- a/cmd/quaybench/fleet/fleet.go
+++ b/cmd/quaybench/fleet/fleet.go
@@ -115,8 +115,8 @@
 // start.
 const startTimeout = 20 * time.Second
 
-// Start starts all processes and waits until every router is ready and knows its
-// peers. On error it stops what it started.
+// Start starts all processes and waits until every router is ready and lists
+// the others as members. On error it stops what it started.
 func (f *Fleet) Start(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
--- a/cmd/quaybench/fleet/fleet_test.go
+++ b/cmd/quaybench/fleet/fleet_test.go
@@ -154,7 +154,7 @@
 				So(countEvents(f, truth.Started, ofRequest("a")), ShouldEqual, 0)
 			})
 
-			Convey("when the service's answer is lost, a refusal says unknown, and the call is not sent again", func() {
+			Convey("when the service's response is lost, a refusal says unknown, and the call is not retried", func() {
 				So(f.Proxies.Inject(fleet.EndpointLink(f.Services[0].Name), fault.Toxic{
 					Type:       "limit_data",
 					Attributes: map[string]int{"bytes": 10},
@@ -163,7 +163,7 @@
 				So(record.Status, ShouldNotEqual, 200)
 				So(record.RunStatus, ShouldEqual, "unknown")
 				So(countEvents(f, truth.Started, ofKey("b")), ShouldEqual, 1)
-				Convey("and neither is a repeat through another router", func() {
+				Convey("and neither is a repeated call through another router", func() {
 					So(f.Proxies.Heal(fleet.EndpointLink(f.Services[0].Name)), ShouldBeNil)
 					record := caller.Call(t.Context(), load.Arrival{ID: "b2", Key: "b", Router: 1, Source: plainSource})
 					So(record.Code, ShouldEqual, "outcome_unknown")
@@ -180,7 +180,7 @@
 		withFleet(t, smallPlan(), func(f *fleet.Fleet) {
 			caller := f.Caller(20 * time.Second)
 
-			Convey("the same call through all routers at once, with store answers lost, runs once", func() {
+			Convey("the same call through all routers at once, with store responses lost, runs once", func() {
 				So(f.Platform.Control(platform.Faults{LoseAnswers: 0.5}), ShouldBeNil)
 				group := errgroup.Group{}
 				for key := range 20 {
@@ -200,7 +200,7 @@
 				}
 			})
 
-			Convey("a repeat gets the stored outcome from every router", func() {
+			Convey("a repeated call gets the stored outcome from every router", func() {
 				first := caller.Call(t.Context(), load.Arrival{ID: "r0", Key: "r", Source: plainSource})
 				So(first.Complete, ShouldBeTrue)
 				for router := range 3 {
@@ -249,7 +249,7 @@
 			leaving := true
 			So(f.Engines[0].Control(engine.Control{Leaving: &leaving}), ShouldBeNil)
 
-			Convey("requests are answered by the other engine, and once routers know, none is sent to the leaving one", func() {
+			Convey("the other engine responds to the requests, and once routers have learned of the departure, none is sent to the leaving one", func() {
 				call := func(id string) {
 					record := caller.Call(t.Context(), load.Arrival{ID: id, Input: 10, Output: 3, Source: modelSource})
 					So(record.Complete, ShouldBeTrue)
--- a/cmd/quaybench/fleet/process.go
+++ b/cmd/quaybench/fleet/process.go
@@ -41,7 +41,8 @@
 	p.command = exec.Command(p.Path, p.Args...)
 	p.command.Stdout = log
 	p.command.Stderr = log
-	// The kernel kills the program if the harness dies, so that none is left.
+	// The kernel kills the program if the harness dies, so no process is left
+	// behind.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return p.command.Start()
 }
--- a/cmd/quaybench/load/load.go
+++ b/cmd/quaybench/load/load.go
@@ -142,10 +142,10 @@
 	// Tokens is the number of tokens received.
 	Tokens int
 	// CleanEOF reports whether the response body ended without an error. If it
-	// did and Whole is false, the caller could take a part of a response for all
-	// of it.
+	// did and Complete is false, the caller could mistake a partial response
+	// for a complete one.
 	CleanEOF bool
-	// Whole reports whether the response was complete.
+	// Complete reports whether the response was complete.
 	Complete bool
 	// Crossed reports whether the response held data of another request.
 	Crossed bool
--- a/cmd/quaybench/matrix/matrix.go
+++ b/cmd/quaybench/matrix/matrix.go
@@ -27,7 +27,7 @@
 const (
 	// Before injects the fault before the requests are sent.
 	Before Moment = "before"
-	// During injects the fault while the requests are being answered.
+	// During injects the fault while the endpoints are responding.
 	During Moment = "during"
 )
 
--- a/cmd/quaybench/soak/caller.go
+++ b/cmd/quaybench/soak/caller.go
@@ -23,10 +23,10 @@
 	incarnation int
 	sent, ended time.Time
 	status      int
-	// answeredID is the request ID in the response; empty if it has none.
+	// responseID is the request ID in the response; empty if it has none.
 	responseID string
 	body       string
-	// err is set if the response was cut or none came.
+	// err is set if the response was cut or none was received.
 	err error
 	// probedVersion is the configuration version whose own route was requested; 0 for
 	// other requests.
--- a/cmd/quaybench/soak/check.go
+++ b/cmd/quaybench/soak/check.go
@@ -16,13 +16,13 @@
 
 // The bounds of the checks.
 const (
-	// maxLeavingDelay is how long after it announced that it leaves a server may get new
-	// work, and maxConfigurationDelay how long a new configuration may take to be in
-	// force. Each is the 2 s that the users require, doubled for a busy machine.
+	// maxLeavingDelay is how long a server may still get new work after it announced that it
+	// leaves, and maxConfigurationDelay how long a new configuration may take to be in force. Each
+	// is the 2 s that the users require, doubled for a busy machine.
 	maxLeavingDelay       = 4 * time.Second
 	maxConfigurationDelay = 4 * time.Second
-	// stopCheckWindow is how long after the start of a planned stop accepted requests must
-	// still be answered. Later ones may not have enough time left.
+	// stopCheckWindow is the time from the start of a planned stop during which accepted requests
+	// must still get their responses. Later ones may not have enough time left.
 	stopCheckWindow = 2 * time.Second
 	// minServedFraction is the fraction of requests that has to be served once all faults
 	// have ended. The others are random refusals on a busy machine.
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("%s %s at %s: %s (status %d, error %v)", o.id, o.path, o.box.Name, violation, o.status, o.err)
 }
 
-// violations returns the guarantees of one request that were not kept.
+// violations describes the guarantees that were violated for one request.
 func (o *outcome) violations(runs []standin.Run) (violations []string) {
 	if o.err == nil && o.status == fasthttp.StatusOK && o.body != o.expectedBody() {
 		violations = append(violations, fmt.Sprintf("its response is not the complete one: %d bytes of %d, %q at the end", len(o.body), len(o.expectedBody()), tail(o.body)))
@@ -100,7 +100,7 @@
 	return false
 }
 
-// expectedBody returns the complete body with which the stand-ins answer the request.
+// expectedBody returns the body of the complete response that the stand-ins send for the request.
 func (o *outcome) expectedBody() string {
 	if o.kind == standin.Booking || o.kind == standin.Lookup {
 		return "answer to " + o.id
@@ -112,7 +112,7 @@
 	return body.String()
 }
 
-// cutByStop describes the violation if the request ran and a planned stop cut its response;
+// checkCutByStop describes the violation if the request ran and a planned stop cut its response;
 // otherwise it returns "".
 func (w *world) checkCutByStop(o *outcome, runs []standin.Run) string {
 	if o.err == nil || len(runs) == 0 {
@@ -129,8 +129,8 @@
 	return ""
 }
 
-// hadFault reports whether a box had a fault between from and to, in one of its incarnations.
-// The start of the next incarnation does not count.
+// hasFaultBetween reports whether a box had a fault between from and to, in one of its
+// incarnations. The start of the next incarnation does not count.
 func (b *box) hasFaultBetween(incarnation int, from, to time.Time) bool {
 	if b.starts > incarnation {
 		for _, stop := range b.stops {
@@ -142,7 +142,7 @@
 	return b.faultTimes.overlaps(from, to) && !b.isOnlyRestart(incarnation, from, to)
 }
 
-// onlyRestarted reports whether the only fault between from and to is the start after a planned
+// isOnlyRestart reports whether the only fault between from and to is the start after a planned
 // stop.
 func (b *box) isOnlyRestart(incarnation int, from, to time.Time) bool {
 	stopped := slices.IndexFunc(b.stops, func(s stop) bool { return s.incarnation == incarnation })
@@ -180,7 +180,7 @@
 			if !leaving {
 				continue
 			}
-			// A box that was cut off may not know that before its fault is over.
+			// A box that was cut off may learn of the departure only after its fault is over.
 			settled := o.box.faultTimes.lastEnd(w.sharedFaultTimes.lastEnd(at, run.Began), run.Began)
 			if run.Began.Before(settled.Add(maxLeavingDelay)) {
 				continue
--- a/cmd/quaybench/soak/check_test.go
+++ b/cmd/quaybench/soak/check_test.go
@@ -18,7 +18,7 @@
 	errCut = errors.New("cut")
 )
 
-// answeredLookup returns the outcome of a lookup that got a complete response.
+// completedLookup returns the outcome of a lookup that got a complete response.
 func completedLookup(b *box) outcome {
 	return outcome{
 		id: "1", path: "/look/1", kind: standin.Lookup, box: b, incarnation: 1,
@@ -32,7 +32,7 @@
 // TestChecksFail shows for each check that it reports a violation.
 func TestChecksFail(t *testing.T) {
 	ran := []standin.Run{{ID: "1", Server: "api-1", Began: start}}
-	Convey("A request that was answered correctly is no violation", t, func() {
+	Convey("A request that got the correct response is no violation", t, func() {
 		o := completedLookup(&box{})
 		So(o.violations(ran), ShouldBeEmpty)
 	})
--- a/cmd/quaybench/soak/crash.go
+++ b/cmd/quaybench/soak/crash.go
@@ -158,8 +158,8 @@
 	return count
 }
 
-// anyBoxFault reports whether some box may have been cut off at some time between from and to.
-// The caller holds the lock.
+// hasBoxFault reports whether some box may have been cut off at some time between from and to. The
+// caller holds the lock.
 func (w *world) hasBoxFault(from, to time.Time) bool {
 	return slices.ContainsFunc(w.boxes, func(b *box) bool { return b.faultTimes.overlaps(from, to) })
 }
--- a/cmd/quaybench/soak/faults.go
+++ b/cmd/quaybench/soak/faults.go
@@ -31,7 +31,7 @@
 // stopped stops a process as planned and starts it again.
 type stopped struct{ box *box }
 
-// reloaded sends a process SIGHUP, on which it reads its settings again.
+// reloaded sends a process SIGHUP, which makes it read its settings again.
 type reloaded struct{ box *box }
 
 // linkFault is a fault of a proxy, either between a box and the store or between all boxes
@@ -349,8 +349,8 @@
 	return w.proxies.Heal(f.link)
 }
 
-// reportSkipped reports a link fault that was skipped because the link already has one of the
-// same kind, which goes on.
+// reportSkipped reports a link fault that was skipped because the link already has one of the same
+// kind, which continues.
 func (w *world) reportSkipped(f linkFault, err error) error {
 	fmt.Fprintf(w.soak.Progress, "        %s not broken again: %v\n", f.link, err)
 	return nil
--- a/cmd/quaybench/soak/selfreport.go
+++ b/cmd/quaybench/soak/selfreport.go
@@ -8,8 +8,8 @@
 	"github.com/quaylead/quaylead/platform/standin"
 )
 
-// inFlightDelay is how long after a refusal requests that the box sent before it read the
-// refusal may still arrive. The users allow half a second.
+// inFlightDelay is how long after a refusal a server may still receive requests that the box had
+// sent before it read the refusal. The users allow half a second.
 const inFlightDelay = 500 * time.Millisecond
 
 // leaveByResponses makes a server leave that announces it only in its responses. It serves on
@@ -34,10 +34,10 @@
 	server string
 }
 
-// checkSelfReports checks that boxes follow what servers report in their responses. After a
-// response that announced that the server leaves, and that the box relayed, the box must not
-// send to this server again, even while it is cut off. After a refusal it must not send until
-// the rest that the server asked for is over, unless the refusal may have been lost.
+// checkSelfReports checks that boxes follow what servers report in their responses. Once a box has
+// forwarded a response that announced that the server leaves, it must not send to this server
+// again, even while it is cut off. After a refusal it must not send until the rest that the server
+// asked for is over, unless the refusal may have been lost.
 func (w *world) checkSelfReports(arrivals []standin.Arrival) (violations []string) {
 	byID := map[string]*outcome{}
 	for i := range w.outcomes {
--- a/cmd/quaybench/soak/soak.go
+++ b/cmd/quaybench/soak/soak.go
@@ -33,11 +33,11 @@
 
 // Verdict is the result of a run.
 type Verdict struct {
-	// Requests counts the requests that were sent, Answered those of them that got a
-	// complete response with status 200.
+	// Requests counts the requests that were sent, Completed those of them that got a complete
+	// response with status 200.
 	Requests, Completed int
 	Faults              int
-	// Violations are the guarantees that were not kept, one line each.
+	// Violations are the guarantees that were violated, one line each.
 	Violations []string
 }
 
--- a/cmd/quayctl/cmds/boxes.go
+++ b/cmd/quayctl/cmds/boxes.go
@@ -64,11 +64,11 @@
 	InForceSince time.Time
 	Stopping     bool
 	InFlight     int64
-	// Fault is why the box did not answer; empty if it did.
+	// Fault is why the box did not respond; empty if it did.
 	Fault string `json:",omitempty"`
 }
 
-// allBoxes reads the status of a box and of every other box that it lists as a member.
+// fetchBoxes reads the status of a box and of every other box that it lists as a member.
 func (o *options) fetchBoxes() (rows []boxRow, err error) {
 	first, err := fetchStatus(o.box)
 	if err != nil {
--- a/cmd/quayctl/cmds/settings.go
+++ b/cmd/quayctl/cmds/settings.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// acceptedFleet reads the accepted settings; fleet is nil if there are none.
+// readAcceptedFleet reads the accepted settings; fleet is nil if there are none.
 func readAcceptedFleet(repository revision.Repository) (head revision.Head, fleet *settings.Fleet, err error) {
 	head, _, err = repository.Head()
 	if err != nil || head.Revision == 0 {
@@ -82,8 +82,7 @@
 	return settings.DecodeSnapshot(snapshot)
 }
 
-// acceptTimeout bounds the retries by which the outcome of a write is found out when the store
-// fails.
+// acceptTimeout bounds the retries that determine the outcome of a write when the store fails.
 const acceptTimeout = 15 * time.Second
 
 // accept writes settings as the revision that follows baseRevision. On a conflict it prints the
@@ -173,7 +172,7 @@
 const (
 	// waitTimeout bounds the wait until settings are in force.
 	waitTimeout = 30 * time.Second
-	// waitInterval is the interval at which the boxes are asked.
+	// waitInterval is the time between two reads of the boxes' status.
 	waitInterval = 100 * time.Millisecond
 )
 
@@ -242,7 +241,7 @@
 	return command
 }
 
-// entryOf reads the history entry of a revision; 0 means the accepted one.
+// readEntry reads the history entry of a revision; 0 means the accepted one.
 func readEntry(repository revision.Repository, number uint64) (revision.Head, error) {
 	if number > 0 {
 		return repository.Entry(number)
--- a/cmd/quaylead/cmds/commands.go
+++ b/cmd/quaylead/cmds/commands.go
@@ -114,7 +114,8 @@
 	return command
 }
 
-// load reads the box's settings, and the settings tree if they name one.
+// loadSettings reads the box's settings, and the settings tree if they name
+// one.
 func loadSettings(opts *options) (box settings.Box, fleet *settings.Fleet, err error) {
 	if opts.file == "" {
 		return box, nil, errors.New("--settings FILE is needed")
--- a/cmd/quaylead/cmds/gateway.go
+++ b/cmd/quaylead/cmds/gateway.go
@@ -18,7 +18,7 @@
 )
 
 // storeTimeout bounds one call to the store, in addition to the time that a feed call asks it to
-// wait. The store answers within 10 ms normally, and 60 times as late when it is slow.
+// wait. The store normally responds within 10 ms, and takes 60 times as long when it is slow.
 const storeTimeout = time.Second
 
 func gatewayCommand(opts *options) *cobra.Command {
--- a/cmd/quaystand/balancer/balancer.go
+++ b/cmd/quaystand/balancer/balancer.go
@@ -18,7 +18,7 @@
 type Box struct {
 	// CallerAddress is the address for callers' connections.
 	CallerAddress string
-	// ReadyURL answers status 200 while the box accepts work.
+	// ReadyURL responds with status 200 while the box accepts work.
 	ReadyURL string
 
 	ready atomic.Bool
--- a/cmd/quaystand/engine/engine.go
+++ b/cmd/quaystand/engine/engine.go
@@ -28,8 +28,8 @@
 	KVTokens int
 	// PrefillRate is the number of prompt tokens processed per second.
 	PrefillRate float64
-	// DecodeInterval is the time between two tokens of one request in an empty
-	// batch. In a full batch it is half as long again.
+	// DecodeInterval is the time between two tokens of one request in an empty batch. In a full
+	// batch it is 1.5 times as long.
 	DecodeInterval time.Duration
 	// CacheTokens bounds the prefix cache.
 	CacheTokens int
@@ -66,7 +66,7 @@
 	index    int
 }
 
-// Control is the body of a /control call, by which a test changes the engine while it runs.
+// Control is the body of a /control call, with which a test changes the engine while it runs.
 type Control struct {
 	// Leaving makes the engine refuse new work, or accept it again.
 	Leaving *bool `json:",omitempty"`
@@ -123,7 +123,7 @@
 	e.Truth.Add(truth.Event{Kind: kind})
 }
 
-// serveLoad answers with the newest report that is at least ReportLag old, or else the current
+// serveLoad responds with the newest report that is at least ReportLag old, or else the current
 // one. Its Leaving is always current.
 func (e *Engine) serveLoad(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
@@ -291,8 +291,8 @@
 // callerCheckInterval is the interval at which the connection of a waiting caller is checked.
 const callerCheckInterval = 100 * time.Millisecond
 
-// awaitSlot waits until the request is admitted to the batch. It returns false if the caller has
-// gone away before.
+// awaitSlot waits until the request is admitted to the batch. It returns false if the caller
+// disconnected first.
 func (e *Engine) awaitSlot(ctx *fasthttp.RequestCtx, j *job) bool {
 	ticker := time.NewTicker(callerCheckInterval)
 	defer ticker.Stop()
@@ -309,8 +309,8 @@
 	}
 }
 
-// removeQueued removes a request from the queue. It returns false if the request has been admitted
-// meanwhile.
+// removeQueued removes a request from the queue. It returns false if the request has already been
+// admitted.
 func (e *Engine) removeQueued(j *job) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -325,7 +325,7 @@
 // prefixBytes is the length of the prefix by which the cache identifies prompts.
 const prefixBytes = 512
 
-// prefill returns the time to process the part of the prompt that is not cached.
+// prefillDuration returns the time to process the part of the prompt that is not cached.
 func (e *Engine) prefillDuration(j *job, prompt []byte) time.Duration {
 	hash := fnv.New64a()
 	hash.Write(prompt[:min(len(prompt), prefixBytes)])
--- a/cmd/quaystand/engine/stream.go
+++ b/cmd/quaystand/engine/stream.go
@@ -12,7 +12,7 @@
 )
 
 // tokenStream is the response body of one request, which yields each token at its time. The HTTP
-// server reads it, and closes it when the response ends or the caller has gone away.
+// server reads it, and closes it when the response ends or the caller has disconnected.
 type tokenStream struct {
 	engine       *Engine
 	job          *job
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// awaitToken sleeps until the time of the next token. It returns an error if the caller has gone
-// away.
+// awaitToken sleeps until the time of the next token. It returns an error if the caller has
+// disconnected.
 func (s *tokenStream) awaitToken() error {
 	for {
 		left := time.Until(s.next)
--- a/cmd/quaystand/plain/service.go
+++ b/cmd/quaystand/plain/service.go
@@ -20,7 +20,7 @@
 	Address string
 	// Latency is how long a call takes.
 	Latency time.Duration
-	// ErrorRate is the fraction of calls that are run and then answered with status 500.
+	// ErrorRate is the fraction of calls that are run and then get status 500.
 	ErrorRate float64
 	// Truth is the log of the requests that were run.
 	Truth *truth.Log
@@ -31,7 +31,7 @@
 	leaving bool
 }
 
-// Answer is the body of a response.
+// Response is the body of a response.
 type Response struct {
 	Endpoint string
 	Request  string
@@ -44,7 +44,7 @@
 	Length int
 }
 
-// Control is the body of a /control call, by which a test changes the service while it runs.
+// Control is the body of a /control call, with which a test changes the service while it runs.
 type Control struct {
 	Leaving *bool `json:",omitempty"`
 }
--- a/cmd/quaystand/platform/platform.go
+++ b/cmd/quaystand/platform/platform.go
@@ -45,16 +45,16 @@
 
 // Faults are the current faults.
 type Faults struct {
-	// Outage answers every call with status 503, without effect.
+	// Outage makes every call return status 503, without effect.
 	Outage bool
-	// Hang keeps every call waiting for hangDuration and then answers status 503.
+	// Hang keeps every call waiting for hangDuration and then returns status 503.
 	Hang bool
 	// Delay is waited before every call.
 	Delay time.Duration
 	// LoseAnswers is the fraction of writes that take effect but get no response: the
 	// connection is closed.
 	LoseAnswers float64
-	// ListOutage answers reads of the box list with status 503.
+	// ListOutage makes reads of the box list return status 503.
 	ListOutage bool
 }
 
@@ -75,7 +75,7 @@
 	boxes []byte
 }
 
-// Handle answers one HTTP call.
+// Handle serves one HTTP call.
 func (p *Platform) Handle(ctx *fasthttp.RequestCtx) {
 	p.initOnce.Do(p.initialize)
 	path := string(ctx.Path())
@@ -121,8 +121,8 @@
 // hangDuration is how long a hanging call waits.
 const hangDuration = 30 * time.Second
 
-// applyFaults applies the current faults to a call before it is executed. It returns false for ok
-// if the call has been refused, and lose if the call is to get no response.
+// applyFaults applies the current faults to a call before it is executed. Ok is false if the call
+// has been refused; lose is true if its response must be dropped.
 func (p *Platform) applyFaults(ctx *fasthttp.RequestCtx, path string) (lose, ok bool) {
 	p.mu.Lock()
 	faults := p.faults
@@ -183,7 +183,7 @@
 	p.lists = append(p.lists, timedList{at: time.Now(), boxes: append([]byte{}, ctx.PostBody()...)})
 }
 
-// serveBoxes answers with the newest list that is at least ListLag old, or else the first one.
+// serveBoxes responds with the newest list that is at least ListLag old, or else the first one.
 func (p *Platform) serveBoxes(ctx *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/quaystand/truth/truth.go
+++ b/cmd/quaystand/truth/truth.go
@@ -19,17 +19,17 @@
 const (
 	// Received: the request was read.
 	Received Kind = "received"
-	// Refused: the request was not run, and the response said so.
+	// Refused: the request was not run, and the response stated it.
 	Refused Kind = "refused"
 	// Started: the request got a slot; from here on it counts as run.
 	Started Kind = "started"
 	// First: the first token was written.
 	First Kind = "first"
-	// Finished: the whole response was written.
+	// Finished: the complete response was written.
 	Finished Kind = "finished"
-	// Cancelled: the caller went away before the end.
+	// Cancelled: the caller disconnected before the end.
 	Cancelled Kind = "cancelled"
-	// Leaving and Joined: the endpoint takes no new work, or takes it again.
+	// Leaving and Joined: the endpoint stops accepting new work, or accepts it again.
 	Leaving Kind = "leaving"
 	Joined  Kind = "joined"
 	// Accepted: settings were accepted by the platform.
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -122,8 +122,9 @@
 	pending []pendingWrite
 }
 
-// pendingWrite is a write that the store has not confirmed yet. If it is lost, a repeat of the
-// key is answered with "unknown" instead of a better answer; nothing else depends on it.
+// pendingWrite is a write that the store has not confirmed yet. If it is lost, a repeated call with
+// the key is refused with "unknown" instead of getting the stored outcome or running; nothing else
+// depends on it.
 type pendingWrite struct {
 	claim   *Claim
 	outcome *Outcome
@@ -216,7 +217,7 @@
 	return Stored{Outcome: outcome}, nil
 }
 
-// Settle stores the outcome, so that a repeat gets the same response. If the store is
+// Settle stores the outcome, so that a repeated call gets the same response. If the store is
 // unavailable, the write is retried in the background.
 func (r *Registry) Settle(claim *Claim, outcome Outcome) {
 	if r.writeOutcome(claim, outcome) != nil {
@@ -243,7 +244,7 @@
 	return err
 }
 
-// Release removes a claim after a call that provably did not run, so that a repeat may run.
+// Release removes a claim after a call that provably did not run, so that a repeated call may run.
 // The claim must not be used afterwards.
 func (r *Registry) Release(claim *Claim) {
 	if err := r.Store.Delete(Table, claim.key.rowKey(), claim.version); isUnavailable(err) {
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -217,7 +217,7 @@
 		So(err, ShouldBeNil)
 		large := make([]byte, 100<<10)
 		first.Settle(result.(claim.Taken).Claim, claim.Outcome{Status: 201, Body: large})
-		Convey("a repeat at any router gets the complete outcome", func() {
+		Convey("a repeated call at any router gets the complete outcome", func() {
 			result, err := registry(store, "b").Take(t.Context(), key, "digest")
 			So(err, ShouldBeNil)
 			stored := result.(claim.Stored)
--- a/pkg/endpoint/conn.go
+++ b/pkg/endpoint/conn.go
@@ -34,7 +34,7 @@
 // maxIdleConns bounds the idle connections to one address.
 const maxIdleConns = 64
 
-// StalledError reports that no data came for too long in the middle of a response.
+// StalledError reports that no data was received for too long in the middle of a response.
 type StalledError struct {
 	Address string
 	Silence time.Duration
--- a/pkg/endpoint/open_linux.go
+++ b/pkg/endpoint/open_linux.go
@@ -29,8 +29,8 @@
 	return open && err == nil
 }
 
-// IsQuiet reports whether a connection is open and has no unread data. On a connection without
-// a request, unread data belongs to a surplus response.
+// IsReusable reports whether an idle connection can carry another request, that is, whether it is
+// open and has no unread data. On an idle connection, unread data belongs to a surplus response.
 func IsReusable(c net.Conn) bool {
 	sysConn, ok := c.(syscall.Conn)
 	if !ok {
--- a/pkg/endpoint/response.go
+++ b/pkg/endpoint/response.go
@@ -23,16 +23,16 @@
 	NonRepeatable bool
 	// Sending is called just before the first byte may be sent.
 	Sending func() error
-	// Matches reports whether a response belongs to this request. Other responses are read to
-	// their end and dropped: a surplus one may come before the expected one.
+	// Matches reports whether a response belongs to this request. Other responses are read to their
+	// end and dropped: a surplus one may precede the expected one.
 	Matches func(head *fasthttp.ResponseHeader) bool
 	// Written is called once nothing reads the request any more. This may be after Do returned
 	// a response, but is always before Close of that response returns.
 	Written func()
 }
 
-// NoResponseError reports that at least part of the request was sent and no response came: the
-// request may have run.
+// NoResponseError reports that at least part of the request was sent and no response was received:
+// the request may have run.
 type NoResponseError struct {
 	Address string
 	Err     error
@@ -104,7 +104,7 @@
 	response, err = c.readResponse(open, call, isHead)
 	if err != nil {
 		if ctx.Err() != nil && reused {
-			// No byte came: other idle connections may be dead as well.
+			// No byte was received: other idle connections may be dead as well.
 			c.Close()
 		}
 		return nil, &NoResponseError{Address: c.Address, Err: err}
@@ -262,9 +262,9 @@
 	r.noReuse = r.noReuse || r.Head.ConnectionClose()
 }
 
-// Read returns body bytes as soon as some are available. It returns io.EOF only at the end
-// that the framing defines, or, where the body runs until the connection closes, when the
-// endpoint closed it in order.
+// Read returns body bytes as soon as some are available. It returns io.EOF only at the end that the
+// framing defines, or, if the body runs until the connection closes, once the endpoint has closed
+// it in order.
 func (r *Response) Read(p []byte) (n int, err error) {
 	if r.complete {
 		return 0, io.EOF
--- a/pkg/endpoint/silence_test.go
+++ b/pkg/endpoint/silence_test.go
@@ -13,7 +13,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// answerOnce responds to the first request of a connection and ignores the rest.
+// respondOnce responds to the first request of a connection and ignores the
+// rest.
 func respondOnce(conn net.Conn) error {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
--- a/pkg/endpoint/stream_test.go
+++ b/pkg/endpoint/stream_test.go
@@ -48,7 +48,7 @@
 			So(events.Usage, ShouldResemble, endpoint.Usage{PromptTokens: 3, CompletionTokens: 2})
 		}
 	})
-	Convey("The usage event is passed on to a caller who asked for it", t, func() {
+	Convey("The usage event is forwarded to a caller who asked for it", t, func() {
 		got, err := io.ReadAll(&endpoint.EventStream{Source: strings.NewReader(whole), KeepUsage: true})
 		So(err, ShouldBeNil)
 		So(string(got), ShouldEqual, whole)
--- a/pkg/logflags/buffer.go
+++ b/pkg/logflags/buffer.go
@@ -62,8 +62,9 @@
 // Dropped returns the number of lines that were dropped because the buffer was full.
 func (b *Buffer) Dropped() int64 { return b.dropped.Load() }
 
-// Run writes the buffered lines at intervals until the context ends, and once more
-// then. If Out fails, as when its reader went away, only the logging ends.
+// Run writes the buffered lines at intervals until the context ends, and once
+// more then. If Out fails, for example because its reader has exited, only the
+// logging ends.
 func (b *Buffer) Run(ctx context.Context) error {
 	for interval.Wait(ctx, flushInterval) == nil {
 		if err := b.Sync(); err != nil {
--- a/pkg/loss/line.go
+++ b/pkg/loss/line.go
@@ -14,7 +14,7 @@
 
 // Line is one line of a box's log.
 type Line struct {
-	// Box is the box that wrote the line, as far as is known.
+	// Box is the box that wrote the line; empty if it is not known.
 	Box  string
 	Time time.Time
 	// Text is the line from its time on.
--- a/pkg/loss/loss.go
+++ b/pkg/loss/loss.go
@@ -9,13 +9,14 @@
 type Outcome string
 
 const (
-	// Refused requests did not run, and their callers were told when to retry.
+	// Refused requests did not run, and their callers got a delay after which
+	// to retry.
 	Refused Outcome = "refused"
 	// Failed requests ended with an error of the router or of an endpoint.
 	Failed Outcome = "failed"
-	// Cut answers ended before they were complete.
+	// Cut responses ended before they were complete.
 	Cut Outcome = "cut"
-	// Late answers were complete, but missed their route's latency target.
+	// Late responses were complete, but missed their route's latency target.
 	Late Outcome = "late"
 )
 
@@ -43,11 +44,12 @@
 	eventEndpointError = "endpoint's error passed on"
 )
 
-// refusalStatuses are the HTTP statuses that promise that the request did not run.
+// refusalStatuses are the HTTP statuses that guarantee that the request did not
+// run.
 var refusalStatuses = map[string]bool{"408": true, "421": true, "429": true, "503": true}
 
-// Classify returns the loss that a line reports. It returns false if the line reports
-// none, as for a request that was served well.
+// Classify returns the loss that a line reports. It returns false if the line
+// reports none, for example if the request was served well.
 func Classify(line *Line) (loss Loss, ok bool) {
 	f := line.Fields
 	loss = Loss{
@@ -114,7 +116,7 @@
 	return text
 }
 
-// lateCause determines which part of a late answer took longest.
+// lateCause determines which part of a late response took longest.
 func lateCause(line *Line) string {
 	first, granted := line.duration("FirstAfter"), line.duration("GrantedAfter")
 	predicted := line.duration("Wait") + line.duration("Read")
--- a/pkg/loss/shares.go
+++ b/pkg/loss/shares.go
@@ -40,8 +40,8 @@
 type sharesRow struct {
 	sharesKey
 	amounts map[string]int64
-	// grantedBy are the boxes that granted something, and refusedBy those that refused
-	// something without asking the box that decides.
+	// grantedBy are the boxes that granted something, and refusedBy those that
+	// refused something without asking the dispatcher.
 	grantedBy, refusedBy []string
 }
 
--- a/pkg/platform/store.go
+++ b/pkg/platform/store.go
@@ -39,7 +39,7 @@
 }
 
 // UnavailableError reports that the store gave no usable response. A write may or may not have
-// taken effect; only a read can tell.
+// taken effect; only a read shows which.
 type UnavailableError struct {
 	Path   string
 	Status int
--- a/pkg/pool/choose.go
+++ b/pkg/pool/choose.go
@@ -54,7 +54,7 @@
 	return best
 }
 
-// shouldSkip reports whether the endpoint already failed this request while
+// shouldSkip reports whether the endpoint already failed this request and
 // another one is available.
 func (s *Schedule) shouldSkip(t *Ticket, endpoint *Endpoint, now time.Time) bool {
 	if !t.tried[endpoint.Name] {
--- a/pkg/pool/fairness_test.go
+++ b/pkg/pool/fairness_test.go
@@ -272,9 +272,10 @@
 	})
 }
 
-// fleetBound adds what routers cannot know of each other: the service given
-// within one exchange interval, by which two customers may drift apart in either
-// direction, and what each router may have waiting in each engine's queue.
+// fleetBound adds what routers cannot know about each other: the service given
+// within one exchange interval, by which two customers may drift apart in
+// either direction, and what each router may have waiting in each engine's
+// queue.
 func (f *fakeFleet) fleetBound() float64 {
 	perRequest := maxInput*f.rules.InputWeight + maxOutput*f.rules.OutputWeight
 	unreported := gossipSteps * perRequest * float64(len(f.engines))
--- a/pkg/pool/order.go
+++ b/pkg/pool/order.go
@@ -62,8 +62,9 @@
 // may lead and still have its quick requests go first.
 const quickLeadDivisor = 4
 
-// isWithinShare reports whether quick requests of the customer go before others:
-// a customer far ahead of its share must not flood the pool by the quick class.
+// isWithinShare reports whether quick requests of the customer go before
+// others: a customer far ahead of its share must not flood the pool through the
+// quick class.
 func (s *Schedule) isWithinShare(q *queue) bool {
 	if s.rules.Order == settings.ArrivalOrder {
 		return false
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -25,7 +25,7 @@
 }
 
 // Withdraw removes a waiting ticket from its queue. It returns false when the
-// ticket was granted meanwhile; the caller must then call Finish.
+// ticket has already been granted; the caller must then call Finish.
 func (p *Pool) Withdraw(t *Ticket) (withdrawn bool) {
 	p.Do(func(s *Schedule, now time.Time) {
 		withdrawn = s.Withdraw(t)
@@ -33,12 +33,13 @@
 	return withdrawn
 }
 
-// Begin records the first piece of an answer.
+// Begin records that the first piece of a response was received.
 func (p *Pool) Begin(t *Ticket) {
 	p.Do(func(s *Schedule, now time.Time) { s.Begin(t) })
 }
 
-// Stream records streamed tokens. It frees no room, so nothing is granted.
+// RecordTokens records streamed tokens. It frees no room, so nothing is
+// granted.
 func (p *Pool) RecordTokens(t *Ticket, tokens float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,8 +75,8 @@
 	return stranded
 }
 
-// NoneAvailable reports whether no endpoint can be given work, and how long it
-// takes until one is tried again.
+// NoneAvailable reports whether no endpoint can be given work, and the time
+// until one is tried again.
 func (p *Pool) NoneAvailable() (wait time.Duration, none bool) {
 	p.View(func(s *Schedule, now time.Time) { wait, none = s.NoneAvailable(now) })
 	return wait, none
--- a/pkg/pool/reports.go
+++ b/pkg/pool/reports.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Report applies an endpoint's load report. A report of an empty queue proves
-// that requests sent well before it have begun.
+// ApplyReport applies an endpoint's load report. A report of an empty queue
+// proves that requests sent well before it have begun.
 func (s *Schedule) ApplyReport(name string, report Report, now time.Time) {
 	endpoint := s.endpoints[name]
 	if endpoint == nil {
@@ -26,7 +26,7 @@
 	}
 }
 
-// ReportFailed records that an endpoint did not answer a request for its load.
+// RecordReportFailure records that reading an endpoint's load report failed.
 func (s *Schedule) RecordReportFailure(name string, now time.Time) {
 	endpoint := s.endpoints[name]
 	if endpoint == nil || now.Before(endpoint.ejectedUntil) {
@@ -35,16 +35,17 @@
 	endpoint.recordFailure(now, &s.rules)
 }
 
-// SetLeaving applies the box list. The list lags, so it can only take work away:
-// an endpoint that reports itself that it is leaving stays without work.
+// SetLeaving applies the box list. The list lags, so it can only exclude
+// endpoints: one that itself reports that it is leaving gets no work, whatever
+// the list shows.
 func (s *Schedule) SetLeaving(leaving map[string]bool) {
 	for _, endpoint := range s.sortedEndpoints {
 		endpoint.listedLeaving = leaving[endpoint.Address]
 	}
 }
 
-// NoneAvailable reports whether every endpoint is leaving or ejected, and how
-// long it takes until the first ejected one is tried again.
+// NoneAvailable reports whether every endpoint is leaving or ejected, and the
+// time until the first ejected one is tried again.
 func (s *Schedule) NoneAvailable(now time.Time) (wait time.Duration, none bool) {
 	for _, endpoint := range s.sortedEndpoints {
 		if endpoint.isAvailable(now) || endpoint.probing {
--- a/pkg/pool/schedule.go
+++ b/pkg/pool/schedule.go
@@ -23,14 +23,14 @@
 	Zone string
 	// Rand breaks ties; tests seed it.
 	Rand *rand.Rand
-	// Ledger records the service that each customer has had.
+	// Ledger records the service that each customer has received.
 	Ledger share.Ledger
 
 	rules     settings.Pool
 	customers map[string]settings.Customer
 	endpoints map[string]*Endpoint
-	// inOrder holds the endpoints sorted by name, so that decisions do not depend
-	// on the order of a map.
+	// sortedEndpoints holds the endpoints by name, so that decisions do not
+	// depend on the order of a map.
 	sortedEndpoints []*Endpoint
 	queues          map[string]*queue
 	// waiting and running count this router's tickets in the pool.
@@ -79,7 +79,7 @@
 	}
 }
 
-// typicalAnswerTokens is the assumed length of the answer in each slot when the
+// typicalOutputTokens is the assumed length of the output in each slot when the
 // maximum lead is derived from the slots.
 const typicalOutputTokens = 256
 
@@ -120,7 +120,7 @@
 }
 
 // Withdraw removes a waiting ticket from its queue. It returns false when the
-// ticket was granted before; the caller must then call Finish.
+// ticket has already been granted; the caller must then call Finish.
 func (s *Schedule) Withdraw(t *Ticket) bool {
 	if t.phase != waiting {
 		return false
@@ -211,7 +211,8 @@
 	return t.InputTokens*s.rules.InputWeight + output*s.rules.OutputWeight
 }
 
-// Begin records the first piece of an answer: the request now holds a slot.
+// Begin records that the first piece of the response was received: the request
+// now holds a slot.
 func (s *Schedule) Begin(t *Ticket) {
 	if t.phase != running || t.started {
 		return
@@ -232,7 +233,7 @@
 	delete(s.queue(t.Customer).unstarted, t)
 }
 
-// Stream charges tokens as they are streamed.
+// RecordTokens charges tokens as they are streamed.
 func (s *Schedule) RecordTokens(t *Ticket, tokens float64) {
 	if t.phase == running {
 		s.chargeService(t, tokens*s.rules.OutputWeight)
--- a/pkg/pool/ticket.go
+++ b/pkg/pool/ticket.go
@@ -5,7 +5,7 @@
 // Ticket is one request in a pool. The exported fields down to Granted are set
 // before Submit and not changed after; the rest belongs to the schedule.
 type Ticket struct {
-	// ID is the request's id, for logs.
+	// ID is the request's ID, for logs.
 	ID string
 	// Customer owns the request; the schedule has the settings of this name.
 	Customer string
@@ -21,8 +21,8 @@
 	Affinity uint64
 	// Arrived is when the request was received.
 	Arrived time.Time
-	// Streamed is set when the answer is streamed, so that its first piece shows
-	// that the endpoint has begun.
+	// Streamed is set when the response is streamed, so that its first piece
+	// shows that the endpoint has begun.
 	Streamed bool
 	// Granted receives one value when an endpoint has room. It has capacity 1.
 	Granted chan struct{}
@@ -51,13 +51,13 @@
 	finished
 )
 
-// Outcome is the result of an attempt at an endpoint: one of Answered, Failed,
+// Outcome is the result of an attempt at an endpoint: one of Completed, Failed,
 // Declined, Moved and Abandoned.
 type Outcome interface {
 	outcome()
 }
 
-// Answered means that the endpoint sent its whole answer.
+// Completed means that the endpoint sent its complete response.
 type Completed struct {
 	// InputTokens and OutputTokens are the actual cost; 0 for plain services.
 	InputTokens  float64
@@ -67,7 +67,8 @@
 	UsageKnown bool
 }
 
-// Failed means that the endpoint could not be reached or broke off its answer.
+// Failed means that the endpoint could not be reached or broke off its
+// response.
 type Failed struct{}
 
 // Declined means that the endpoint proved that it ran nothing, because it is
@@ -80,7 +81,7 @@
 // endpoint had a free slot, and was taken back to be sent there.
 type Moved struct{}
 
-// Abandoned means that the caller went away or its deadline passed.
+// Abandoned means that the caller disconnected or its deadline passed.
 type Abandoned struct{}
 
 func (Completed) outcome() {}
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -76,13 +76,14 @@
 type Metrics struct {
 	// FirstToken is the time from a request's arrival to its first token.
 	FirstToken Latencies
-	// Total is the time from a request's arrival to its whole answer.
+	// Total is the time from a request's arrival to the end of its complete
+	// response.
 	Total Latencies
 	// Refusals counts refusals by code.
 	Refusals expvar.Map
-	// Answers counts whole answers by pool.
+	// Answers counts complete responses by pool.
 	Answers expvar.Map
-	// Cut counts answers that broke off, visibly to the caller, by pool.
+	// Cut counts responses that broke off, visibly to the caller, by pool.
 	Cut expvar.Map
 	// Retries counts attempts after the first, by pool.
 	Retries expvar.Map
--- a/pkg/request/refusal.go
+++ b/pkg/request/refusal.go
@@ -65,7 +65,7 @@
 	IDHeader  = "X-Request-Id"
 )
 
-// Refusal is a final response that quaylead gives in place of an endpoint.
+// Refusal is a final response that quaylead sends in place of an endpoint.
 type Refusal struct {
 	Code    Code
 	Message string
--- a/pkg/request/state.go
+++ b/pkg/request/state.go
@@ -20,13 +20,13 @@
 	Sending
 	// Sent: the whole request was written.
 	Sent
-	// Answering: the header of a response was read.
+	// Responding: the header of a response was read.
 	Responding
 	// Settled: the final response is decided.
 	Settled
 )
 
-var stateNames = [...]string{"received", "claimed", "queued", "sending", "sent", "answering", "settled"}
+var stateNames = [...]string{"received", "claimed", "queued", "sending", "sent", "responding", "settled"}
 
 // String returns the state's name for logs and tables.
 func (s State) String() string {
@@ -79,7 +79,7 @@
 	return l.attempts
 }
 
-// Advance moves the request to a later state. Sent and Answering are only allowed during an
+// Advance moves the request to a later state. Sent and Responding are only allowed during an
 // attempt.
 func (l *Lifecycle) Advance(to State) error {
 	if to <= l.state {
--- a/pkg/revision/repository.go
+++ b/pkg/revision/repository.go
@@ -34,7 +34,7 @@
 	Message string
 	At      time.Time
 	// Nonce identifies this acceptance, so that it can be recognised when the
-	// store's answer was lost.
+	// store's response was lost.
 	Nonce string
 }
 
@@ -168,7 +168,7 @@
 }
 
 // storeSnapshot stores a snapshot. Its key is its hash, so storing it again is
-// harmless, and a write whose answer was lost is detected by reading.
+// harmless, and a write whose response was lost is detected by reading.
 func (r Repository) storeSnapshot(hash string, snapshot []byte, deadline time.Time) error {
 	for {
 		err := r.Store.PutObject(objectKey(hash), snapshot)
@@ -187,7 +187,7 @@
 }
 
 // commitHead writes the head and its history entry in one transaction. The same
-// writes may be sent again when an answer is lost: the condition on the head's
+// writes may be sent again when a response is lost: the condition on the head's
 // version lets them take effect once.
 func (r Repository) commitHead(head Head, version string, deadline time.Time) error {
 	value, err := json.Marshal(head)
--- a/pkg/router/caller.go
+++ b/pkg/router/caller.go
@@ -31,7 +31,7 @@
 	return base64.RawURLEncoding.EncodeToString(random[:])
 }
 
-// maxIDLength bounds the request ids that callers may set.
+// maxIDLength bounds the request IDs that callers may set.
 const maxIDLength = 128
 
 func requestID(ctx *fasthttp.RequestCtx) string {
@@ -42,7 +42,7 @@
 	return newID()
 }
 
-// serveCaller answers one call.
+// serveCaller serves one call.
 func (r *Router) serveCaller(ctx *fasthttp.RequestCtx) {
 	r.inFlight.Add(1)
 	j := &job{router: r, ctx: ctx, id: requestID(ctx), arrived: time.Now()}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// refuse writes a refusal as the final answer.
+// refuse writes a refusal as the final response.
 func (j *job) refuse(refusal *request.Refusal) {
 	r := j.router
 	r.Metrics.Refusals.Add(string(refusal.Code), 1)
@@ -149,7 +149,7 @@
 	}
 }
 
-// refuseMalformed answers calls that are not HTTP requests within the limits.
+// refuseMalformed refuses calls that are not HTTP requests within the limits.
 func (r *Router) refuseMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r.logs.For(logflags.Caller).Debug("malformed request", zap.Error(err))
 	refusal := invalidRequest("the request is malformed, too large or too slow")
@@ -157,7 +157,7 @@
 	ctx.SetConnectionClose()
 }
 
-// callerGone reports whether the caller's connection is closed.
+// isCallerGone reports whether the caller's connection is closed.
 func (j *job) isCallerGone() bool {
 	return !endpoint.IsOpen(j.ctx.Conn())
 }
--- a/pkg/router/job.go
+++ b/pkg/router/job.go
@@ -34,8 +34,8 @@
 	buildRequest func() (*fasthttp.Request, error)
 	// grants counts the endpoints that were granted, whether reached or not.
 	grants int
-	// streaming is set once the answer's stream owns the job; closing the stream
-	// then ends the job.
+	// streaming is set once the response stream owns the job; closing the
+	// stream then ends the job.
 	streaming bool
 }
 
@@ -46,7 +46,7 @@
 // defaultRetryAfter is the retry advice after a failure that passes soon.
 const defaultRetryAfter = time.Second
 
-// callerGoneError ends the wait for an endpoint when the caller went away.
+// callerGoneError ends the wait for an endpoint when the caller disconnected.
 type callerGoneError struct{}
 
 // Error implements the error interface.
@@ -65,7 +65,7 @@
 func (strandedError) Error() string { return "another endpoint has a free slot" }
 
 // checkWhileWaiting is called repeatedly while the job waits for an endpoint's
-// answer. An error ends the wait.
+// response. An error ends the wait.
 func (j *job) checkWhileWaiting() error {
 	if j.repeatable && j.lifecycle.Attempts() < maxAttempts && j.pool.IsStranded(j.ticket) {
 		return strandedError{}
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// obtainAnswer returns the head of an endpoint's answer for a queued ticket. It
-// tries other endpoints as far as that is safe and within the retry budget. When
-// it returns an answer, the ticket is running.
+// obtainResponse returns the head of an endpoint's response for a queued
+// ticket. It tries other endpoints as far as that is safe and within the retry
+// budget. When it returns a response, the ticket is running.
 func (j *job) obtainResponse() (*endpoint.CheckedResponse, *request.Refusal) {
 	for {
 		if refusal := j.awaitGrant(); refusal != nil {
@@ -152,8 +152,8 @@
 	}
 }
 
-// refuseIfUnavailable refuses the request at once when no endpoint of the pool can
-// be used: a longer wait would only delay the answer.
+// refuseIfUnavailable refuses the request at once when no endpoint of the pool
+// can be used: a longer wait would only delay the refusal.
 func (j *job) refuseIfUnavailable() *request.Refusal {
 	wait, none := j.pool.NoneAvailable()
 	if !none || !j.pool.Withdraw(j.ticket) {
@@ -193,7 +193,7 @@
 // Error implements the error interface.
 func (e *declinedError) Error() string { return "the endpoint took no new work" }
 
-// mismatchedAnswerError reports an answer that belongs to another request.
+// mismatchedResponseError reports a response that belongs to another request.
 type mismatchedResponseError struct {
 	requestID string
 }
@@ -237,7 +237,7 @@
 	return response, j.lifecycle.Advance(request.Responding)
 }
 
-// inspect checks the head of an answer.
+// inspect checks the head of a response.
 func (j *job) inspect(response *endpoint.CheckedResponse) error {
 	header := &response.Response.Header
 	echoed := header.Peek(request.IDHeader)
@@ -301,8 +301,9 @@
 }
 
 // requeue queues the request for another attempt. It is exempt from the retry
-// budget if the endpoint could not be reached, ran nothing, or was left while the
-// request waited there; any other failure takes a retry from the budget.
+// budget if the endpoint could not be reached, ran nothing, or had the request
+// taken back while it waited there; any other failure takes a retry from the
+// budget.
 func (j *job) requeue(budgetExempt bool) bool {
 	if j.lifecycle.Attempts() >= maxAttempts || j.grants >= maxGrants {
 		return false
--- a/pkg/router/model.go
+++ b/pkg/router/model.go
@@ -54,9 +54,9 @@
 	return j.forwardModel(call)
 }
 
-// answerModel relays an engine's answer. Nothing is delivered before its first
-// event, so an answer that breaks off earlier may still be obtained from another
-// engine.
+// forwardModel forwards an engine's response. Nothing is delivered before its
+// first event, so if a response breaks off earlier, another engine may still
+// provide one.
 func (j *job) forwardModel(call *endpoint.ModelCall) *request.Refusal {
 	if refusal := j.pool.Submit(j.ticket); refusal != nil {
 		return refusal
@@ -85,7 +85,8 @@
 	}
 }
 
-// relayWhole relays an answer that is not streamed.
+// forwardBuffered forwards a response that is not streamed, once it has been
+// read completely.
 func (j *job) forwardBuffered(response *endpoint.CheckedResponse) error {
 	body, err := response.ReadAll(j.router.Box.Limits.AnswerBytes)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// relayStream passes the stream to the server, which reads it event by event.
+// forwardStream hands the stream to the server, which reads it event by event.
 func (j *job) forwardStream(response *endpoint.CheckedResponse, keepUsage bool) error {
 	events := &endpoint.EventStream{Source: response, KeepUsage: keepUsage}
 	events.Count = func(tokens int) { j.pool.RecordTokens(j.ticket, float64(tokens)) }
@@ -121,21 +122,21 @@
 	return nil
 }
 
-// finish records that the request was answered.
+// finish records that the response is complete.
 func (j *job) finish(outcome pool.Completed) {
 	j.pool.Finish(j.ticket, outcome)
-	// The transition from answering to settled never fails.
+	// The transition from responding to settled never fails.
 	_ = j.lifecycle.Advance(request.Settled)
 	j.router.Metrics.Answers.Add(j.poolName, 1)
 	j.recordLatency(&j.router.Metrics.Total)
 }
 
-// body is an answer that is being relayed to the caller. Closing it records the
-// outcome of the request.
+// forwardedBody is a response that is being forwarded to the caller. Closing it
+// records the outcome of the request.
 type forwardedBody struct {
 	job      *job
 	response *endpoint.CheckedResponse
-	// complete is set once the end of the answer was relayed.
+	// complete is set once the end of the response was forwarded.
 	complete bool
 	closed   bool
 }
@@ -146,7 +147,8 @@
 	return b.job.ctx.Conn().SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// close ends the exchange with the endpoint, whether the answer is complete or cut.
+// close ends the exchange with the endpoint, whether the response is complete
+// or cut.
 func (b *forwardedBody) close(outcome pool.Completed) error {
 	if b.closed {
 		return nil
@@ -168,7 +170,7 @@
 	return err
 }
 
-// eventBody is an engine's event stream that is being relayed to the caller.
+// eventBody is an engine's event stream that is being forwarded to the caller.
 type eventBody struct {
 	forwardedBody
 	events *endpoint.EventStream
--- a/pkg/router/operator.go
+++ b/pkg/router/operator.go
@@ -11,7 +11,7 @@
 	"github.com/quaylead/quaylead/pkg/settings"
 )
 
-// Status is the answer to /status, for operators.
+// Status is the response to /status, for operators.
 type Status struct {
 	Box         string
 	Zone        string
--- a/pkg/router/plain.go
+++ b/pkg/router/plain.go
@@ -45,7 +45,7 @@
 	return j.serveClaimed(key)
 }
 
-// answerPlain relays a plain service's answer as it arrives.
+// forwardPlain forwards a plain service's response as it arrives.
 func (j *job) forwardPlain() *request.Refusal {
 	if refusal := j.pool.Submit(j.ticket); refusal != nil {
 		return refusal
@@ -57,7 +57,7 @@
 	return j.forward(response)
 }
 
-// relay passes an answer to the server, which reads it piece by piece.
+// forward hands a response to the server, which reads it piece by piece.
 func (j *job) forward(response *endpoint.CheckedResponse) *request.Refusal {
 	j.pool.Begin(j.ticket)
 	j.copyHeader(response)
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// plainBody is a plain service's answer that is being relayed to the caller.
+// plainBody is a plain service's response that is being forwarded to the
+// caller.
 type plainBody struct {
 	forwardedBody
 }
@@ -98,8 +99,9 @@
 	return err == io.EOF
 }
 
-// answerClaimed serves a call that must run at most once and carries an idempotency
-// key. The key is claimed before the first byte is sent, and the outcome is stored.
+// serveClaimed serves a call that must run at most once and carries an
+// idempotency key. The key is claimed before the first byte is sent, and the
+// outcome is stored.
 func (j *job) serveClaimed(key string) *request.Refusal {
 	ctx, cancel := context.WithDeadline(context.Background(), j.deadline)
 	defer cancel()
@@ -181,7 +183,7 @@
 	return nil
 }
 
-// ReplayedHeader marks an answer that was stored when the call ran.
+// ReplayedHeader marks a response that was stored when the call ran.
 const ReplayedHeader = "Quaylead-Replayed"
 
 func (j *job) respondStored(outcome claim.Outcome) {
@@ -214,7 +216,8 @@
 	return call
 }
 
-// copyHeader starts the caller's answer with the endpoint's status and headers.
+// copyHeader starts the response to the caller with the endpoint's status and
+// headers.
 func (j *job) copyHeader(response *endpoint.CheckedResponse) {
 	callerResponse := &j.ctx.Response
 	closing := callerResponse.ConnectionClose()
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -1,5 +1,5 @@
-// Package router serves callers: it identifies customers, queues their requests,
-// sends them to endpoints and relays the answers.
+// Package router serves callers: it identifies customers, queues their
+// requests, sends them to endpoints and forwards the responses.
 package router
 
 import (
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -119,7 +119,7 @@
 	return strings.TrimSpace(line)
 }
 
-// TestHostileCallers sends malformed requests. Each gets an answer or a closed
+// TestHostileCallers sends malformed requests. Each gets a response or a closed
 // connection, and the router continues to serve.
 func TestHostileCallers(t *testing.T) {
 	authorised := "Host: a\r\nAuthorization: Bearer " + testKey + "\r\n"
@@ -158,9 +158,10 @@
 	})
 }
 
-// TestEndpointsThatAnswerBadly checks that no faulty answer is relayed as complete.
+// TestEndpointsThatAnswerBadly checks that no faulty response is forwarded as
+// complete.
 func TestEndpointsThatAnswerBadly(t *testing.T) {
-	// The standard library's client does not repeat a call on a new connection.
+	// The standard library's client does not retry a call on a new connection.
 	get := func(address string) (status int, run string, err error) {
 		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		call, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/a", nil)
@@ -177,7 +178,7 @@
 		_, err = io.ReadAll(response.Body)
 		return response.StatusCode, response.Header.Get("Quaylead-Run"), err
 	}
-	Convey("An answer to another request is refused as unknown", t, func() {
+	Convey("A response to another request is refused as unknown", t, func() {
 		handler := func(ctx *fasthttp.RequestCtx) { ctx.Response.Header.Set("X-Request-Id", "other") }
 		withRouter(t, handler, func(address string) {
 			status, run, err := get(address)
@@ -186,7 +187,7 @@
 			So(run, ShouldEqual, "unknown")
 		})
 	})
-	Convey("A body shorter than promised is visibly cut", t, func() {
+	Convey("A body shorter than announced is visibly cut", t, func() {
 		handler := func(ctx *fasthttp.RequestCtx) {
 			ctx.HijackSetNoResponse(true)
 			ctx.Hijack(func(c net.Conn) {
--- a/pkg/settings/box.go
+++ b/pkg/settings/box.go
@@ -97,8 +97,8 @@
 	HeaderBytes int
 	// BodyBytes bounds the body of a call.
 	BodyBytes int
-	// AnswerBytes bounds an answer that is buffered whole, such as a stored
-	// outcome.
+	// AnswerBytes bounds a response that is buffered completely, such as a
+	// stored outcome.
 	AnswerBytes int
 	// Connections bounds the connections of callers.
 	Connections int
@@ -106,7 +106,7 @@
 	ConnectionsPerIP int
 	// ReadTimeout bounds reading one request.
 	ReadTimeout Duration
-	// WriteTimeout bounds writing one chunk of an answer to a slow caller.
+	// WriteTimeout bounds writing one chunk of a response to a slow caller.
 	WriteTimeout Duration
 	// IdleTimeout bounds the wait for the next request of a connection.
 	IdleTimeout Duration
@@ -116,8 +116,8 @@
 	// DrainTimeout bounds a planned stop; the number of requests that are still
 	// in flight then is logged.
 	DrainTimeout Duration
-	// DrainWait is the time between the readiness check starting to fail and the
-	// end of accepting connections, for the balancer to notice.
+	// DrainWait is how long connections are still accepted after the readiness
+	// check starts to fail, for the balancer to notice.
 	DrainWait Duration
 }
 
--- a/pkg/settings/fleet.go
+++ b/pkg/settings/fleet.go
@@ -109,7 +109,7 @@
 	ReportInterval Duration
 	// ConnectTimeout bounds connecting to an endpoint.
 	ConnectTimeout Duration
-	// StallTimeout is the longest pause in the middle of an answer.
+	// StallTimeout is the longest pause in the middle of a response.
 	StallTimeout Duration
 	// EjectAfter is the number of consecutive failures that eject an endpoint.
 	EjectAfter int
@@ -160,7 +160,7 @@
 	Endpoint Endpoint
 }
 
-// DefaultDefaults returns the defaults that apply where no branch sets others.
+// BuiltinDefaults returns the defaults that apply where no branch sets others.
 func BuiltinDefaults() Defaults {
 	return Defaults{
 		Customer: Customer{
