--- a/cmd/quaybench/experiment/experiment.go
+++ b/cmd/quaybench/experiment/experiment.go
@@ -166,8 +166,7 @@
 	return result, r.writeResult(result)
 }
 
-// runLoad sends the trace, and meanwhile runs the scheduled faults and the
-// operators.
+// runLoad sends the trace while the scheduled faults and the operators run.
 func (r *Run) runLoad(ctx context.Context, f *fleet.Fleet, operators *operatorRace) (records []load.Record, err error) {
 	runner := f.Caller(r.Experiment.Timeout.Duration)
 	runner.Progress = r.printProgress
--- a/cmd/quaybench/soak/faults.go
+++ b/cmd/quaybench/soak/faults.go
@@ -69,7 +69,7 @@
 // serverLeaves makes a server leave as planned, after another one was added.
 type serverLeaves struct{ server *server }
 
-// serverLeavesByResponses makes a server leave that announces it only in its responses, after
+// serverLeavesByResponses makes a server leave and announce this only in its responses, after
 // another one was added. Its entry in the store stays as it was.
 type serverLeavesByResponses struct{ server *server }
 
@@ -264,7 +264,8 @@
 	}
 }
 
-// inject begins a fault, waits for its duration and ends it, even if the context ends meanwhile.
+// inject begins a fault, waits for its duration and ends it, even if the context ends in the
+// meantime.
 func inject(ctx context.Context, w *world, f injection, length time.Duration) error {
 	switch f := f.(type) {
 	case killed:
--- a/cmd/quaybench/soak/selfreport.go
+++ b/cmd/quaybench/soak/selfreport.go
@@ -12,8 +12,8 @@
 // sent before it read the refusal. The users allow half a second.
 const inFlightDelay = 500 * time.Millisecond
 
-// leaveByResponses makes a server leave that announces it only in its responses. It serves on
-// until the end of the run, so that wrongly sent work is recorded.
+// leaveByResponses makes a server leave and announce this only in its responses. It serves on until
+// the end of the run, so that wrongly sent work is recorded.
 func (w *world) leaveByResponses(s *server) error {
 	if err := w.addServer(s.Service); err != nil {
 		return err
--- a/pkg/endpoint/checked_response.go
+++ b/pkg/endpoint/checked_response.go
@@ -86,8 +86,8 @@
 	return length == chunkedLength || length == r.bytesRead
 }
 
-// waitReadable waits for the next byte from the endpoint and calls the check meanwhile. If
-// bounded, it fails after StallTimeout without a byte, as in the middle of a response.
+// waitReadable waits for the next byte from the endpoint and calls the check while it waits. If
+// bounded, as it is in the middle of a response, it fails after StallTimeout without a byte.
 func (r *CheckedResponse) waitReadable(bounded bool) error {
 	began := time.Now()
 	for {
--- a/pkg/endpoint/conn.go
+++ b/pkg/endpoint/conn.go
@@ -137,7 +137,7 @@
 	return last
 }
 
-// release makes a connection idle whose response was read to its end.
+// release adds a connection whose response was read to its end to the idle ones.
 func (c *Client) release(open *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/endpoint/response_test.go
+++ b/pkg/endpoint/response_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// server handles each connection by a script.
+// server handles each connection according to a script.
 type server struct {
 	listener net.Listener
 	group    errgroup.Group
--- a/pkg/pool/endpoint.go
+++ b/pkg/pool/endpoint.go
@@ -24,7 +24,7 @@
 	settings.Endpoint
 
 	// running counts this router's requests there, and slow those of them that
-	// are of no quick class. 0 <= slow <= running.
+	// are not of a quick class. 0 <= slow <= running.
 	running int
 	slow    int
 	// unstarted holds the requests without a sign that they have begun; they may
--- a/pkg/pool/order.go
+++ b/pkg/pool/order.go
@@ -84,15 +84,16 @@
 	return s.assignFirst(q.slow, now)
 }
 
-// slowPriority is added to the priority of requests of no quick class, and of those
-// of customers far ahead of their share, so that they come after quick requests.
+// slowPriority is added to the priority of requests that are not of a quick
+// class, and of those of customers far ahead of their share, so that they come
+// after quick requests.
 const slowPriority = 1 << 24
 
-// priorityLeadDivisor sets the fraction of MaxLead (a half) above which all leads
-// have the same priority. A request keeps its priority while it waits at an
-// engine, even if its customer falls behind meanwhile. With a limit below MaxLead
-// other requests reach the same priority, and an engine takes the older of two
-// requests of equal priority.
+// priorityLeadDivisor sets the fraction of MaxLead (a half) above which all
+// leads have the same priority. A request keeps its priority while it waits at
+// an engine, even if its customer falls behind in the meantime. Because the
+// limit is below MaxLead, later requests of others can reach the same priority,
+// and an engine takes the older of two requests of equal priority.
 const priorityLeadDivisor = 2
 
 // priority returns the customer's lead at the time of sending, so that an engine
--- a/pkg/revision/repository.go
+++ b/pkg/revision/repository.go
@@ -137,9 +137,9 @@
 // retryDelay is the time between two attempts at a failing store.
 const retryDelay = 200 * time.Millisecond
 
-// Accept makes a proposal the head. The error is a *ConflictError when another
-// acceptance came first, and an *UnknownOutcomeError when the store did not confirm
-// whether it accepted.
+// Accept makes a proposal the accepted settings. The error is a *ConflictError
+// when another acceptance came first, and an *UnknownOutcomeError when the
+// store did not confirm whether it accepted.
 func (r Repository) Accept(proposal Proposal) (head Head, err error) {
 	defer func() { err = trace.Wrap(err, "accepting settings") }()
 	snapshot, err := settings.EncodeSnapshot(proposal.Fleet)
