--- a/cmd/quaybench/soak/faults.go
+++ b/cmd/quaybench/soak/faults.go
@@ -31,7 +31,7 @@
 // stopped stops a process as planned and starts it again.
 type stopped struct{ box *box }
 
-// reloaded sends a process SIGHUP, on which it reads its settings again.
+// reloaded sends a process SIGHUP, which makes it read its settings again.
 type reloaded struct{ box *box }
 
 // linkFault is a fault of a proxy, either between a box and the store or between all boxes
@@ -69,7 +69,7 @@
 // serverLeaves makes a server leave as planned, after another one was added.
 type serverLeaves struct{ server *server }
 
-// serverLeavesByResponses makes a server leave that announces it only in its responses, after
+// serverLeavesByResponses makes a server leave and announce this only in its responses, after
 // another one was added. Its entry in the store stays as it was.
 type serverLeavesByResponses struct{ server *server }
 
@@ -264,7 +264,8 @@
 	}
 }
 
-// inject begins a fault, waits for its duration and ends it, even if the context ends meanwhile.
+// inject begins a fault, waits for its duration and ends it, even if the context ends in the
+// meantime.
 func inject(ctx context.Context, w *world, f injection, length time.Duration) error {
 	switch f := f.(type) {
 	case killed:
@@ -349,8 +350,8 @@
 	return w.proxies.Heal(f.link)
 }
 
-// reportSkipped reports a link fault that was skipped because the link already has one of the
-// same kind, which goes on.
+// reportSkipped reports a link fault that was skipped because the link already has one of the same
+// kind, which continues.
 func (w *world) reportSkipped(f linkFault, err error) error {
 	fmt.Fprintf(w.soak.Progress, "        %s not broken again: %v\n", f.link, err)
 	return nil
--- a/pkg/endpoint/conn.go
+++ b/pkg/endpoint/conn.go
@@ -34,7 +34,7 @@
 // maxIdleConns bounds the idle connections to one address.
 const maxIdleConns = 64
 
-// StalledError reports that no data came for too long in the middle of a response.
+// StalledError reports that no data was received for too long in the middle of a response.
 type StalledError struct {
 	Address string
 	Silence time.Duration
@@ -137,7 +137,7 @@
 	return last
 }
 
-// release makes a connection idle whose response was read to its end.
+// release adds a connection whose response was read to its end to the idle ones.
 func (c *Client) release(open *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
