--- a/pkg/dispatch/exposure.go
+++ b/pkg/dispatch/exposure.go
@@ -44,10 +44,10 @@
 }
 
 // placementScope is the set of engines to which a request may go, so that no more than
-// quarantine.MaxEnds engines ever end under it, whichever boxes dispatch. When ends were only
-// counted as they occurred, concurrent repeats ended an engine each. When only the dispatching
-// box counted them, boxes that dispatched at the same time or one after the other ended three
-// each (TestMostEndsUnderChange).
+// quarantine.MaxEnds engines ever end under it, whichever boxes dispatch. It is not enough to
+// count ends as they occur, as concurrent repeats then end an engine each. Nor is it enough if only
+// the dispatching box counts them: boxes that dispatch at the same time or one after the other
+// then end three each (TestMostEndsUnderChange).
 //
 // A box may choose any engine for a request only if it alone dispatches, no engine runs the
 // request, and none is known to have ended under it. Otherwise the request goes to an engine that
--- a/pkg/dispatch/pool.go
+++ b/pkg/dispatch/pool.go
@@ -14,29 +14,23 @@
 	// BacklogFraction is the longest predicted wait at an engine that gets new work, as a
 	// fraction of the shortest latency target in use. Engines take requests in order, so the
 	// next request needs the remainder of its target. With a fixed 300 ms for targets from 300 ms
-	// on, 1 to 2% less of what was requested was served in time (two times 8 pairs of simulated
-	// days with failures).
+	// on, 1 to 2% less of what was requested was served in time.
 	BacklogFraction float64
 	// OverShareBacklogFraction is the same for customers over their share.
 	OverShareBacklogFraction float64
 	// ReadFraction is the fraction of their time for which engines read prompts where customers
 	// over their share divide the capacity. A stream's tokens are made between chunks of other
 	// requests' prompts: at an engine that reads half of its time a stream takes about twice as
-	// long, so a failure of all boxes breaks twice as many running streams. On simulated days
-	// with such a failure, 1 and 4% less of what was requested was served in time with 0.5 and
-	// 0.7 than with 0.4, and as much with 0.3 as with 0.4. Days without failures differed by no
-	// more than 2% up to 0.5 (8 to 24 pairs of days).
+	// long, so a failure of all boxes breaks twice as many running streams. With 0.7 instead of
+	// 0.4, such a failure reduced what was served in time by 4% of what was requested.
 	ReadFraction float64
 	// CatchUpFraction is the fraction of what the most served customer was granted in the window
 	// up to which other customers do not have to wait for idle engines. No customer that is
-	// refused may get less than half of what another one gets. Of two that requested 3.7 and
-	// 19.8 million tokens a second, the first got 0.41 and the other 1.01 million without this
-	// rule, 0.44 and 0.76 with 0.5, 0.53 and 0.72 with 0.75, and 0.59 and 0.69 with 0.9. Small
-	// customers, to whom the rule applies too, got 0.46 of what they requested, retries
-	// included, without it and 0.77 with 0.75 (a simulated fleet of 60 engines, 9 s each).
-	//
-	// On simulated days with floods of requests, 0.9 cost 0.010 (error 0.004, 12 pairs) of what
-	// was requested and served in time, and 0.7 cost 0.006 (0.004, 8 pairs).
+	// refused may get less than half of what another one gets: without this rule, of two that
+	// requested 3.7 and 19.8 million tokens a second, the first got 0.41 and the other 1.01
+	// million; with 0.75 they got 0.53 and 0.72 million. Small customers, to whom the rule applies
+	// too, got 0.46 of what they requested, retries included, without it and 0.77 with 0.75.
+	// Under floods of requests, 0.9 cost 0.010 of what was requested and served in time.
 	CatchUpFraction float64
 	// MaxWaitFraction is the fraction of its latency target for which a request may wait here.
 	MaxWaitFraction float64
@@ -48,8 +42,7 @@
 	// MissFactor weighs the time for reading shared parts again, in addition to the time itself,
 	// for prompts that go only to the homes of their parts. ShortMissFactor is for prompts whose
 	// shared parts are short: they may go to any engine, and there are far more of them. With 2
-	// for these too, 0.48 instead of 0.45 million tokens were read again on a simulated day of
-	// 50 s without failures, and 1.5% less of what was requested was served in time (2 pairs).
+	// for these too, 1.5% less of what was requested was served in time.
 	MissFactor, ShortMissFactor float64
 	// Window is the time over which customers' shares are counted.
 	Window time.Duration
--- a/pkg/dispatch/refusal.go
+++ b/pkg/dispatch/refusal.go
@@ -18,8 +18,8 @@
 
 // isBacklogTooLong reports whether a request of a customer over its share cannot be served
 // while it may wait here, because as much is queued before it as is granted in that time. Such a
-// request is refused at once. Otherwise refused requests of a customer with ten times its share
-// were held for 105 ms on average instead of 21 ms (simulated). One request in each queue may
+// request is refused at once. Without this check, refused requests of a customer with ten times
+// its share were held for 105 ms on average instead of 21 ms. One request in each queue may
 // always wait.
 func (p *Pool) isBacklogTooLong(a *account, req *Request, now time.Time) bool {
 	q := a.queue(req.Route)
@@ -53,11 +53,10 @@
 
 // retryAfter returns the time after which to retry a refused request: half of the predicted time
 // until there is room, as other requests leave the queue too, spread from a quarter to three
-// quarters so that requests refused together are not retried together. A caller whose first try
-// is refused and whose second is served gets its response within its latency target if the retry
-// comes soon enough. With 1.5 to 3 s for all customers over their share, and latency targets of
-// 0.3 to 0.6 s, every retry was late: on days with failures 5% less of what was requested was
-// served in time.
+// quarters so that requests refused together are not retried together. If the retry comes soon
+// enough, its response still meets the latency target. With 1.5 to 3 s for all customers over
+// their share, every retry missed targets of 0.3 to 0.6 s, and 5% less of what was requested was
+// served in time on days with failures.
 func (p *Pool) retryAfter(a *account, req *Request, isOver bool, now time.Time) time.Duration {
 	if left := p.earliestRestEnd(req, now).Sub(now); left > 0 {
 		return RetryAfterRest(left, p.Rand.Float64())
--- a/pkg/gateway/admission.go
+++ b/pkg/gateway/admission.go
@@ -17,9 +17,8 @@
 
 // refuseEarly refuses a request that would not be sent to a dispatcher; ok is false if it may
 // wait. A refusal at this point takes a third less of the router's processor time than one
-// after the watch on the caller's connection has begun (profile of refusals at one router on
-// loopback). A router whose processor time is used up by refusals of one customer sends no
-// requests to the dispatcher.
+// after the watch on the caller's connection has begun. A router whose processor time is used up
+// by refusals of one customer sends no requests to the dispatcher.
 func (s *scheduler) refuseEarly(req *dispatch.Request) (v verdict, ok bool) {
 	s.mu.Lock()
 	now := time.Now()
--- a/pkg/gateway/response_time.go
+++ b/pkg/gateway/response_time.go
@@ -20,11 +20,9 @@
 	// least the quotient. Under a flood of requests a dispatcher is now and then stopped for
 	// more than a tenth of a second, and leaving it costs far more than waiting: routers that
 	// switch to another box and back transfer all running requests and cached parts, and two
-	// dispatchers at once each see only half of what a customer got. On a simulated day with two
-	// floods on 59 boxes (one run each), minResponseTimeout alone led to 170 switches within
-	// 20 s and earned 0.66 of what was due; a minimum of 200 ms led to 2 switches and earned
-	// 0.83. A third of the latency target earned 0.006 more (error 0.002, 12 pairs of days with
-	// floods and faults).
+	// dispatchers at once each see only half of what a customer got. With minResponseTimeout
+	// alone, 59 boxes under two floods made 170 switches within 20 s and earned 0.66 of what was
+	// due; a minimum of 200 ms earned 0.83, and a third of the latency target 0.006 more.
 	latencyTargetDivisor = 3
 	// maxResponseTimeout leaves time to decide locally within the latency target. It applies in
 	// full to a dispatcher that has not responded yet: when a whole fleet switches to a box,
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -158,10 +158,10 @@
 	}
 }
 
-// pingTimeout is how long a peer may take to respond to the ping of CheckSession. On a working
-// session a response takes a millisecond. A box short of processor time may take more than half
-// a second, and reopening its sessions costs it even more: with 0.5 s, 56 sessions were closed
-// in 25 s of a run with 85 boxes, none of which was permanently unresponsive.
+// pingTimeout is how long a peer may take to respond to the ping of CheckSession. It takes a
+// millisecond on a working session, but more than half a second if its box is short of processor
+// time, and reopening its sessions costs such a box even more. With 0.5 s, 56 working sessions
+// among 85 boxes were closed in 25 s.
 const pingTimeout = 1500 * time.Millisecond
 
 // CheckSession pings a peer, and closes and reopens the session to it if it does not respond:
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -74,9 +74,9 @@
 }
 
 // Ledger holds the ends that one box has recorded or received. Boxes send each other all of
-// them, so any box may be lost, and each one decides by itself: in simulated fleets that lose
-// boxes a request ended 3 engines at most, and 7 if only the dispatcher counted
-// (TestDeadlyWays). The zero value is empty. It is safe for concurrent use.
+// them, so any box may be lost, and each one decides by itself. If only the dispatcher counted,
+// a request ended up to 7 engines instead of 3 in fleets that lose boxes (TestDeadlyWays). The zero
+// value is empty. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
