--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -52,7 +52,7 @@
 
 // EndSource provides records of endpoints that ended while they ran a request.
 type EndSource interface {
-	// Since returns the records that changed since a mark, without those that the box named by
+	// EndsSince returns the records that changed since a mark, without those that the box named by
 	// to has sent itself. The first mark of a stream is 0, the next one is the mark returned.
 	EndsSince(since uint64, to string, now time.Time) (ends []quarantine.End, mark uint64)
 	// MostSevere returns the records that a box needs before it sends any request: those of the
